--- a/astertrack/app.py
+++ b/astertrack/app.py
@@ -134,7 +134,7 @@
             return
         self.stop_us = self.clock.now_us()
         log.info("stopping", calls=len(self.router.calls), unanswered=self.router.unanswered())
-        self.clock.at(self.clock.now_us() + LAST_CALLERS_US, self._close)
+        self.clock.call_at(self.clock.now_us() + LAST_CALLERS_US, self._close)
 
     def _close(self) -> None:
         for port in self.ports:
@@ -148,15 +148,15 @@
         # but not until the platform's SIGKILL, which would leave the store and the counters unwritten.
         standing = self.router.calls and self.clock.now_us() < (self.stop_us or 0) + STANDING_US
         if standing or self.router.unanswered():
-            self.clock.at(self.clock.now_us() + CHECK_US, self._finish)
+            self.clock.call_at(self.clock.now_us() + CHECK_US, self._finish)
         elif self.reactor.running:
             for session in list(self.call_front.sessions) if self.call_front is not None else ():
                 session.go_away()
             for connection in list(self.front.connections):
                 connection.close()
-            self.clock.at(self.clock.now_us() + STORE_US, self._abandon_store)
+            self.clock.call_at(self.clock.now_us() + STORE_US, self._abandon_store)
             self.store.close().addCallback(
-                lambda _: self.clock.at(self.clock.now_us() + CHECK_US, self.reactor.stop))
+                lambda _: self.clock.call_at(self.clock.now_us() + CHECK_US, self.reactor.stop))
 
     def _abandon_store(self) -> None:
         """Guards the end against a store that hangs: its thread cannot be stopped."""
--- a/astertrack/core/model.py
+++ b/astertrack/core/model.py
@@ -112,8 +112,8 @@
     def now_us(self) -> int:
         """Return the present instant."""
 
-    def at(self, when_us: int, do: Callable[[], None]) -> Timer:
-        """Call do at an instant, never before it."""
+    def call_at(self, when_us: int, callback: Callable[[], None]) -> Timer:
+        """Call the callback at an instant, never before it."""
 
 
 class Log(Protocol):
--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -82,7 +82,7 @@
         self.counts: Counter[str] = counts if counts is not None else Counter()
         self.gate = gate if gate is not None else Gate((), log, self.counts)
         self._seen: set[str] | None = set()  # calls of this process, while orphans may come
-        clock.at(clock.now_us() + ORPHAN_US, self._no_more_orphans)
+        clock.call_at(clock.now_us() + ORPHAN_US, self._no_more_orphans)
         self._events: deque[io.Event] = deque()
         self._busy = False
         self._now_us = 0
@@ -110,7 +110,7 @@
             self._answer(call, Final.REFUSED, passed.wait_us)
             return True
         call.ticket, call.label = passed, passed.label
-        call.guard = self.clock.at(call.answer_by_us, lambda: self._overdue(call))
+        call.guard = self.clock.call_at(call.answer_by_us, lambda: self._overdue(call))
         self._feed(io.CallOffered(
             request.call, request.service, request.dest, request.number, request.deadline_us, request.width,
             request.tenant, request.transit, request.via, request.repeated, request.cut_before,
@@ -292,7 +292,7 @@
                 if call is not None and call.attempt is not None and call.attempt.number == number:
                     self._give_up(call, io.Outcome.CALLED_OFF, settled=False)
             case io.SetTimer(token, at_us):
-                self.clock.at(at_us, lambda: self._feed(io.TimerDue(token)))
+                self.clock.call_at(at_us, lambda: self._feed(io.TimerDue(token)))
             case io.Probe(peer):
                 self.counts["probes_sent"] += 1
                 self.peers.probe(peer)
@@ -324,7 +324,7 @@
         self.counts["attempts_sent"] += 1
         if call.ticket is not None:
             call.ticket.sent(call.request, entry, now)
-        attempt.timer = self.clock.at(deadline_us, lambda: self._timed_out(call, attempt))
+        attempt.timer = self.clock.call_at(deadline_us, lambda: self._timed_out(call, attempt))
         self.peers.set_up(peer, call.request, deadline_us)
 
     # ---- a call's and an attempt's end
--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -35,7 +35,7 @@
         self.machine.connect()
         self.write(self.machine.take())
         clock = self.link.clock
-        clock.at(clock.now_us() + self.link.dial_us, self._overdue)
+        clock.call_at(clock.now_us() + self.link.dial_us, self._overdue)
 
     def _overdue(self) -> None:
         """Guards against a server that never shakes hands: nothing would dial again."""
@@ -125,7 +125,7 @@
         up = self.connection is not None
         if isinstance(self.connection, ApiConnection):
             self.connection.ping()
-        self.clock.at(self.clock.now_us(), lambda: self.router.group_state(self.name, io.Load(), ok=up))
+        self.clock.call_at(self.clock.now_us(), lambda: self.router.group_state(self.name, io.Load(), ok=up))
 
     def resumed(self) -> None:
         """Ask for what became of the calls that stand."""
--- a/astertrack/net/bulletin.py
+++ b/astertrack/net/bulletin.py
@@ -151,7 +151,7 @@
         """A byte came."""
         if self._silence is not None:
             self._silence.cancel()
-        self._silence = self.clock.at(self.clock.now_us() + SILENT_US, self._silent)
+        self._silence = self.clock.call_at(self.clock.now_us() + SILENT_US, self._silent)
 
     def _silent(self) -> None:
         log.warning("bulletin fell silent")
@@ -164,7 +164,7 @@
         if self._silence is not None:
             self._silence.cancel()
         if self._redial is None:
-            self._redial = self.clock.at(self.clock.now_us() + REDIAL_US, self.dial)
+            self._redial = self.clock.call_at(self.clock.now_us() + REDIAL_US, self.dial)
 
     def heard(self, event: sse.ServerSentEvent) -> None:
         """Tell of an event, once."""
--- a/astertrack/net/callers.py
+++ b/astertrack/net/callers.py
@@ -54,7 +54,7 @@
         self.connections: dict[CallerConnection, None] = {}  # the one quiet for longest first
         self.releases: dict[str, Release] = {}  # not sent yet, or not heard by the caller
         self.held = 0  # descriptors: a connection given up holds its own until the reactor's next turn
-        clock.at(clock.now_us() + SWEEP_US, self._sweep)
+        clock.call_at(clock.now_us() + SWEEP_US, self._sweep)
 
     def buildProtocol(self, addr: IAddress | None) -> CallerConnection | None:
         """Twisted's hook for a new connection; None refuses it."""
@@ -84,7 +84,7 @@
             connection.check(now)
         for call, release in list(self.releases.items()):
             self._follow_up(call, release, now)
-        self.clock.at(now + SWEEP_US, self._sweep)
+        self.clock.call_at(now + SWEEP_US, self._sweep)
 
     # ---- releases
 
--- a/astertrack/net/clock.py
+++ b/astertrack/net/clock.py
@@ -52,6 +52,6 @@
         """Return the present instant in microseconds."""
         return time.time_ns() // 1000
 
-    def at(self, when_us: int, do: Callable[[], None]) -> Later:
-        """Call do at an instant."""
-        return Later(self, when_us, do)
+    def call_at(self, when_us: int, callback: Callable[[], None]) -> Later:
+        """Call the callback at an instant, never before it."""
+        return Later(self, when_us, callback)
--- a/astertrack/net/control.py
+++ b/astertrack/net/control.py
@@ -199,7 +199,7 @@
         self.check()
         self._tell()
         self.turned(began)
-        self.clock.at(self.clock.now_us() + TICK_US, self._tick)
+        self.clock.call_at(self.clock.now_us() + TICK_US, self._tick)
 
     def turned(self, began: float) -> None:
         """Note how long a piece of work held the reactor."""
@@ -238,7 +238,7 @@
         """Bytes came."""
         if self._silence is not None:
             self._silence.cancel()
-        self._silence = self.clock.at(self.clock.now_us() + SILENT_US, self._silent)
+        self._silence = self.clock.call_at(self.clock.now_us() + SILENT_US, self._silent)
 
     def _silent(self) -> None:
         if self.stream is None or self.stream.paused:
@@ -266,7 +266,7 @@
         longest = min(REDIAL_MOST_US, REDIAL_LEAST_US << min(self._failures, 16))
         self._failures += 1
         wait = int(longest * (0.5 + 0.5 * self._random.random()))
-        self._redial = self.clock.at(self.clock.now_us() + wait, self.dial)
+        self._redial = self.clock.call_at(self.clock.now_us() + wait, self.dial)
 
     def heard(self, event: control.Event) -> None:
         """Pass on what came."""
@@ -354,7 +354,7 @@
 
         def make() -> Conversation:
             message = StatusMessage(self, batch)
-            self.clock.at(self.clock.now_us() + ANSWER_US, message.overdue)
+            self.clock.call_at(self.clock.now_us() + ANSWER_US, message.overdue)
             return message
 
         self.clock.reactor.connectTCP(host, int(port), _Dial(make, lambda: self.told(batch, 0)), timeout=DIAL_US / 1e6)
--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -208,7 +208,7 @@
             def again() -> None:
                 self._redial = None
                 self.dial()
-            self._redial = self.clock.at(self.clock.now_us() + REDIAL_US, again)
+            self._redial = self.clock.call_at(self.clock.now_us() + REDIAL_US, again)
 
     def retire(self) -> None:
         """The peer has left the list: nothing of it is kept, and nothing more is said to it.
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -85,7 +85,7 @@
             self._partial = None
         if self.stream.partial:
             clock = self.link.clock
-            self._partial = clock.at(clock.now_us() + PARTIAL_US, self._cut_short)
+            self._partial = clock.call_at(clock.now_us() + PARTIAL_US, self._cut_short)
 
     def _cut_short(self) -> None:
         if not self.done:
@@ -129,7 +129,7 @@
             if self.tests.pop(call, None) is not None:
                 self.router.group_state(self.name, io.Load(), ok=False, delay_us=self.clock.now_us() - now)
 
-        self.tests[call] = (now, self.clock.at(now + PROBE_US, silent))
+        self.tests[call] = (now, self.clock.call_at(now + PROBE_US, silent))
         if self.connection is not None:
             self._write(wire.test(call))
 
@@ -185,7 +185,7 @@
         self.make, self.home, self.clock = make, home, clock
         self.links: dict[str, Link] = {}
         self._watch_us = clock.now_us() + WATCH_US
-        clock.at(self._watch_us, self._watch)
+        clock.call_at(self._watch_us, self._watch)
         self.addresses: dict[str, str] = {}
 
     def _watch(self) -> None:
@@ -198,7 +198,7 @@
             for link in list(self.links.values()):
                 link.watch()
         self._watch_us = now + WATCH_US
-        self.clock.at(self._watch_us, self._watch)
+        self.clock.call_at(self._watch_us, self._watch)
 
     def update(self, endpoints: list[Endpoint], complete: bool) -> None:
         """Follow the list. A peer at a new address is a new machine; one's name is kept on a restart."""
--- a/astertrack/net/versionserver.py
+++ b/astertrack/net/versionserver.py
@@ -43,7 +43,7 @@
         super().connectionMade()
         self.service.connections.add(self)
         clock = self.service.clock
-        clock.at(clock.now_us() + ASK_US, self._overdue)
+        clock.call_at(clock.now_us() + ASK_US, self._overdue)
 
     def _overdue(self) -> None:
         if not self.reader.done:
@@ -139,7 +139,7 @@
         self.counts: Counter[str] = Counter()
         self.connections: set[Router] = set()
         self.streams: set[Router] = set()
-        clock.at(clock.now_us() + COMMENT_US, self._comment)
+        clock.call_at(clock.now_us() + COMMENT_US, self._comment)
 
     def buildProtocol(self, addr: IAddress | None) -> Router | None:
         """Twisted's hook for a new connection; None refuses it."""
@@ -151,7 +151,7 @@
     def _comment(self) -> None:
         for stream in list(self.streams):
             stream.comment()
-        self.clock.at(self.clock.now_us() + COMMENT_US, self._comment)
+        self.clock.call_at(self.clock.now_us() + COMMENT_US, self._comment)
 
     def publish(self, id: VersionId, plan: Any, in_force_ms: int = 0) -> None:
         """Publish a version, and send it to every router that listens. Raises ValueError if it is out of order."""
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -52,8 +52,8 @@
         self.most = min(most, CONNECTIONS_MOST)
         self.sessions: set[Session] = set()
         self.calls: dict[str, ApiCall] = {}
-        self.clock.at(self.clock.now_us() + SWEEP_US, self._sweep)
-        self.clock.at(self.clock.now_us() + WATCH_US, self._watch)
+        self.clock.call_at(self.clock.now_us() + SWEEP_US, self._sweep)
+        self.clock.call_at(self.clock.now_us() + WATCH_US, self._watch)
 
     def buildProtocol(self, addr: IAddress | None) -> Session | None:
         """Twisted's hook for a new connection; None refuses it."""
@@ -68,14 +68,14 @@
         old = now - KEPT_US
         for call in [n for n, c in self.calls.items() if c.ended_us is not None and c.ended_us <= old]:
             del self.calls[call]
-        self.clock.at(now + SWEEP_US, self._sweep)
+        self.clock.call_at(now + SWEEP_US, self._sweep)
 
     def _watch(self) -> None:
         """Give up sockets that have died without a word, or never say a whole one."""
         now = self.clock.now_us()
         for session in list(self.sessions):
             session.check(now)
-        self.clock.at(now + WATCH_US, self._watch)
+        self.clock.call_at(now + WATCH_US, self._watch)
 
     # ---- what clients ask
 
--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -271,7 +271,7 @@
                 if links.count(False) >= CUT_SHARE * len(links):
                     zones = self.given.config.zones
                     self.versions.disturbed(zones[zone] if 0 <= zone < len(zones) else "")
-        self.given.clock.at(self.given.clock.now_us() + TICK_US, self._watch)
+        self.given.clock.call_at(self.given.clock.now_us() + TICK_US, self._watch)
 
     # ---- the store
 
--- a/benchmarks/narrowing.py
+++ b/benchmarks/narrowing.py
@@ -64,9 +64,9 @@
         """The clock's port."""
         return self.now
 
-    def at(self, when_us: int, do: Callable[[], None]) -> Any:
+    def call_at(self, when_us: int, callback: Callable[[], None]) -> Any:
         """The clock's port."""
-        cell: list[Callable[[], None] | None] = [do]
+        cell: list[Callable[[], None] | None] = [callback]
         heapq.heappush(self.timers, (when_us, next(self.order), cell))
 
         class Handle:
@@ -102,8 +102,8 @@
 
         def answers() -> None:
             self.router.answered(peer, call, b"")
-            self.at(self.now + int(self.source.expovariate(1 / HOLD_US)), ends)
-        self.at(self.now + DELAY_US, answers)
+            self.call_at(self.now + int(self.source.expovariate(1 / HOLD_US)), ends)
+        self.call_at(self.now + DELAY_US, answers)
 
     def give_up(self, peer: str, call: str) -> None:
         """The peers' port."""
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -38,7 +38,7 @@
     clock, held = Steady(reactor), Held()
     gc.disable()
     try:
-        held.timer = clock.at(clock.now_us() + 1_000_000, held.due)
+        held.timer = clock.call_at(clock.now_us() + 1_000_000, held.due)
         end(reactor, held.timer)
         gone, timer = weakref.ref(held), weakref.ref(held.timer)
         del held
@@ -51,7 +51,7 @@
 def test_a_timer_never_fires_before_its_instant() -> None:
     reactor, fired = Clock(), list[int]()
     clock = Steady(reactor)
-    clock.at(1_000_000, lambda: fired.append(clock.now_us()))
+    clock.call_at(1_000_000, lambda: fired.append(clock.now_us()))
     clock.behind_us = 300  # the Unix clock was set back
     reactor.advance(1.0)
     assert fired == []
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -233,7 +233,7 @@
     versions.end(world.now)
     while versions.work(world.now):
         pass
-    world.at(world.now + 3 * SECOND, lambda: versions.tick(world.now))
+    world.call_at(world.now + 3 * SECOND, lambda: versions.tick(world.now))
     deadline = world.now + 3 * SECOND
     world.pass_time(deadline - world.now - 1)
     world.offer("before", wait_us=SECOND)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -57,8 +57,8 @@
     def now_us(self) -> int:
         return self.now
 
-    def at(self, when_us: int, do: Callable[[], None]) -> Handle:
-        handle = Handle(do)
+    def call_at(self, when_us: int, callback: Callable[[], None]) -> Handle:
+        handle = Handle(callback)
         heapq.heappush(self.timers, (when_us, next(self.order), handle))
         return handle
 
