--- a/astertrack/app.py
+++ b/astertrack/app.py
@@ -133,7 +133,7 @@
         if self.stop_us is not None:
             return
         self.stop_us = self.clock.now_us()
-        log.info("stopping", calls=len(self.router.calls), unanswered=self.router.unanswered())
+        log.info("stopping", calls=len(self.router.calls), unanswered=self.router.count_unanswered())
         self.clock.call_at(self.clock.now_us() + LAST_CALLERS_US, self._close)
 
     def _close(self) -> None:
@@ -147,7 +147,7 @@
         # Calls that stand need no router: peers release them to the next one. Ends are passed on for a while,
         # but not until the platform's SIGKILL, which would leave the store and the counters unwritten.
         standing = self.router.calls and self.clock.now_us() < (self.stop_us or 0) + STANDING_US
-        if standing or self.router.unanswered():
+        if standing or self.router.count_unanswered():
             self.clock.call_at(self.clock.now_us() + CHECK_US, self._finish)
         elif self.reactor.running:
             for session in list(self.call_front.sessions) if self.call_front is not None else ():
--- a/astertrack/core/model.py
+++ b/astertrack/core/model.py
@@ -70,16 +70,16 @@
 class Caller(Protocol):
     """Whoever offered a call. Each call gets exactly one of answered, refused and failed."""
 
-    def answered(self, call: str, description: bytes) -> None:
+    def on_answered(self, call: str, description: bytes) -> None:
         """The call stands."""
 
-    def refused(self, call: str, wait_us: int) -> None:
+    def on_refused(self, call: str, wait_us: int) -> None:
         """Turned away; trying again is harmless after wait_us."""
 
-    def failed(self, call: str) -> None:
+    def on_failed(self, call: str) -> None:
         """The call has failed."""
 
-    def released(self, call: str, cause: int) -> None:
+    def on_released(self, call: str, cause: int) -> None:
         """A call that stood is over."""
 
 
@@ -89,7 +89,7 @@
     def set_up(self, peer: str, request: Request, deadline_us: int) -> None:
         """Send a set-up that will be waited for until the deadline."""
 
-    def give_up(self, peer: str, call: str) -> None:
+    def cancel_set_up(self, peer: str, call: str) -> None:
         """Give up a set-up that is out."""
 
     def release(self, peer: str, call: str, cause: int) -> None:
--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -131,7 +131,7 @@
             self._give_up(call, io.Outcome.CALLED_OFF, settled=True)
         return True
 
-    def hang_up(self, name: str, cause: int) -> bool:
+    def release_call(self, name: str, cause: int) -> bool:
         """The caller releases a call that stands; False if there is none."""
         call = self.calls.get(name)
         if call is None and self._seen is not None and name not in self._seen:
@@ -148,13 +148,13 @@
         self._over(call, AttemptEnd(io.Outcome.OK if cause == NORMAL else io.Outcome.CUT))
         return True
 
-    def unanswered(self) -> int:
+    def count_unanswered(self) -> int:
         """Return how many calls wait for their final answer."""
         return sum(not call.standing for call in self.calls.values())
 
     # ---- what peers do
 
-    def answered(self, peer: str, name: str, description: bytes) -> None:
+    def on_answered(self, peer: str, name: str, description: bytes) -> None:
         """A peer answered a set-up."""
         call = self._at(peer, name)
         if call is None or call.attempt is None:
@@ -168,14 +168,14 @@
         call.standing = True
         self._stop(call)
         self.counts["final_answered"] += 1
-        call.caller.answered(name, description)
+        call.caller.on_answered(name, description)
         self._note(call, Final.ANSWERED.value)
         if call.ticket is not None:
             call.ticket.final(call.request, Final.ANSWERED, self.now_us())
         delay = self.now_us() - call.attempt.sent_us
         self._feed(io.CallStands(name, call.attempt.number, peer, delay))
 
-    def ended(self, peer: str, name: str, end: AttemptEnd) -> None:
+    def on_ended(self, peer: str, name: str, end: AttemptEnd) -> None:
         """A peer ended an attempt, or a call that stood."""
         call = self._at(peer, name)
         if call is None:
@@ -200,14 +200,14 @@
     def _no_more_orphans(self) -> None:
         self._seen = None
 
-    def peer_lost(self, peer: str) -> list[str]:
+    def on_peer_lost(self, peer: str) -> list[str]:
         """A peer's process has died, and its calls with it: nobody else will release them. Returns them."""
         lost = [call for call in self.at_peer.get(peer, {}).values() if call.standing]
         for call in lost:
             self._cut_or_ended(call, AttemptEnd(io.Outcome.CUT))
         return [call.request.call for call in lost]
 
-    def group_state(self, peer: str, load: io.Load, ok: bool = True, delay_us: int = 0) -> None:
+    def on_group_state(self, peer: str, load: io.Load, ok: bool = True, delay_us: int = 0) -> None:
         """A peer told the state of the group towards it, or answered a probe."""
         if peer in self.roster:
             self._feed(io.GroupStatus(peer, ok, delay_us, self._as_of_now(peer, load)))
@@ -227,7 +227,7 @@
             new = self.roster.get(name)
             if new is None:
                 self.free.pop(name, None)
-                self.peer_lost(name)  # a machine that vanished sends no release
+                self.on_peer_lost(name)  # a machine that vanished sends no release
             elif new.started_us and new.started_us != old.started_us:
                 for call in list(self.at_peer.get(name, {}).values()):  # calls of the process before
                     if call.standing and call.attempt and call.attempt.sent_us < new.started_us:
@@ -352,7 +352,7 @@
 
     def _give_up(self, call: Call, outcome: io.Outcome, settled: bool) -> None:
         if call.attempt is not None:
-            self.peers.give_up(call.attempt.peer, call.request.call)
+            self.peers.cancel_set_up(call.attempt.peer, call.request.call)
             self._attempt_over(call, AttemptEnd(outcome), settled)
 
     def _attempt_over(self, call: Call, end: AttemptEnd, settled: bool) -> None:
@@ -379,7 +379,7 @@
 
     def _cut_or_ended(self, call: Call, end: AttemptEnd) -> None:
         """A call that stood is over by the peer's doing: release it towards its caller."""
-        call.caller.released(call.request.call, NORMAL if end.outcome is io.Outcome.OK else CUT)
+        call.caller.on_released(call.request.call, NORMAL if end.outcome is io.Outcome.OK else CUT)
         self._over(call, end)
 
     def _over(self, call: Call, end: AttemptEnd) -> None:
@@ -395,9 +395,9 @@
         """Give the one final answer, if it is not a call that stands."""
         self._finish(call, final)
         if final is Final.REFUSED:
-            call.caller.refused(call.request.call, wait_us)
+            call.caller.on_refused(call.request.call, wait_us)
         else:
-            call.caller.failed(call.request.call)
+            call.caller.on_failed(call.request.call)
 
     def _finish(self, call: Call, final: Final) -> None:
         self._stop(call)
--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -125,7 +125,7 @@
         up = self.connection is not None
         if isinstance(self.connection, ApiConnection):
             self.connection.ping()
-        self.clock.call_at(self.clock.now_us(), lambda: self.router.group_state(self.name, io.Load(), ok=up))
+        self.clock.call_at(self.clock.now_us(), lambda: self.router.on_group_state(self.name, io.Load(), ok=up))
 
     def resumed(self) -> None:
         """Ask for what became of the calls that stand."""
@@ -139,7 +139,7 @@
         match message:
             case api.Answer(call, description):
                 self.open.discard(call)
-                self.router.answered(self.name, call, description.encode())
+                self.router.on_answered(self.name, call, description.encode())
             case api.Refused(call, _, reason):
                 self._over(call, io.Outcome.TURNED_AWAY, REASONS.get(reason, io.Cause.NONE))
             case api.Failed(call, reason):
@@ -153,8 +153,8 @@
                 if call is not None:  # the call is not there, or never will be
                     self._over(call, io.Outcome.CUT if code == "unknown-call" else io.Outcome.NUMBER_FAULT)
             case api.State(free, size, hold_back):
-                self.router.group_state(self.name, io.Load(free=free, size=size, hold_back=hold_back))
+                self.router.on_group_state(self.name, io.Load(free=free, size=size, hold_back=hold_back))
 
     def _over(self, call: str, outcome: io.Outcome, cause: io.Cause = io.Cause.NONE) -> None:
         self.open.discard(call)
-        self.router.ended(self.name, call, AttemptEnd(outcome, cause))
+        self.router.on_ended(self.name, call, AttemptEnd(outcome, cause))
--- a/astertrack/net/callers.py
+++ b/astertrack/net/callers.py
@@ -230,7 +230,7 @@
                         self.machine.refuse(call, TERMINATED)
                 case sip.HungUp(call, cause):
                     self.counts["sip_hung_up"] += 1
-                    self.router.hang_up(call, cause)
+                    self.router.release_call(call, cause)
                 case sip.Acknowledged():
                     self.counts["sip_acknowledged"] += 1
                 case sip.ReleaseHeard(call):
@@ -249,7 +249,7 @@
             self.counts["sip_unplaceable"] += 1
             log.warning("a call that cannot be placed", call=event.call, tier=event.tier[:40],
                         wait_ms=event.wait_ms, figures=event.attrs[:80])
-            self.failed(event.call)
+            self.on_failed(event.call)
         elif not self.router.offer(request, self):
             # The id of a call in hand, on another connection: that call and its caller are not to be harmed.
             log.warning("a call in hand was offered again", call=event.call)
@@ -273,26 +273,26 @@
             now + min(event.wait_ms * 1000, longest), event.description, width=width,
             transit=bool(attrs.get("transit")), via=int(via), cut_before=bool(attrs.get("again")))
 
-    def answered(self, call: str, description: bytes) -> None:
+    def on_answered(self, call: str, description: bytes) -> None:
         """The call stands."""
         if self.machine.answer(call, description):
             self.trusted = True
             self.counts["sip_answers_sent"] += 1
         self._flush()
 
-    def refused(self, call: str, wait_us: int) -> None:
+    def on_refused(self, call: str, wait_us: int) -> None:
         """Turned away; the caller is told when to return."""
         if self.machine.refuse(call, REFUSED, -(-wait_us // 1000)):
             self.counts["sip_refusals_sent"] += 1
         self._flush()
 
-    def failed(self, call: str) -> None:
+    def on_failed(self, call: str) -> None:
         """The call has failed."""
         if self.machine.refuse(call, FAILED):
             self.counts["sip_failures_sent"] += 1
         self._flush()
 
-    def released(self, call: str, cause: int) -> None:
+    def on_released(self, call: str, cause: int) -> None:
         """A call that stood is over."""
         self.front.release(call, cause, self)
 
--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -115,7 +115,7 @@
         elif self.connection is not None and now - self._heard_us > QUIET_US and not self._asked:
             self._asked = True
             self.probe()
-        if now - self._heard_us > LOST_US and (calls := self.router.peer_lost(self.name)):
+        if now - self._heard_us > LOST_US and (calls := self.router.on_peer_lost(self.name)):
             log.warning("calls at a silent peer are given up", peer=self.name, calls=len(calls))
             self.owed += [(call, CUT, True, now) for call in calls]
 
@@ -158,9 +158,9 @@
         self._refusals = self._refusals + 1 if refused else 0
         if self._refusals >= REFUSALS:
             self.owed.clear()
-            self.router.peer_lost(self.name)  # no process, so none of its calls
+            self.router.on_peer_lost(self.name)  # no process, so none of its calls
         for call in waiting:
-            self.router.ended(self.name, call, AttemptEnd(io.Outcome.UNREACHABLE))
+            self.router.on_ended(self.name, call, AttemptEnd(io.Outcome.UNREACHABLE))
         self._dial_later()
 
     def disconnected(self, connection: Conversation, reason: Failure) -> None:
@@ -197,7 +197,7 @@
             log.warning("connection to a peer ended", peer=self.name, why=why, set_ups=len(opened))
         self.owed += [(call, NORMAL, False, now) for call in opened]
         for call in opened:
-            self.router.ended(self.name, call, AttemptEnd(self.broken))
+            self.router.on_ended(self.name, call, AttemptEnd(self.broken))
         if now - self._up_us < YOUNG_US:
             self._dial_later()
         else:
@@ -225,7 +225,7 @@
         self._dialling = None
         waiting, self.waiting = self.waiting, {}
         for call in waiting:
-            self.router.ended(self.name, call, AttemptEnd(io.Outcome.UNREACHABLE))
+            self.router.on_ended(self.name, call, AttemptEnd(io.Outcome.UNREACHABLE))
         if self.connection is not None:
             self.drop(self.connection)
             self.owed.clear()
@@ -235,7 +235,7 @@
     def set_up(self, request: Request, deadline_us: int) -> None:
         """Send a set-up, once the connection is up."""
         if self.retired:
-            self.router.ended(self.name, request.call, AttemptEnd(io.Outcome.UNREACHABLE))
+            self.router.on_ended(self.name, request.call, AttemptEnd(io.Outcome.UNREACHABLE))
             return
         if self.connection is None:
             self.waiting[request.call] = (request, deadline_us)
@@ -246,7 +246,7 @@
             self.send_set_up(request, deadline_us)
         except ValueError as wrong:  # no message holds it: it costs this call, not the others of its caller
             log.warning("set-up that cannot be sent", peer=self.name, call=request.call, error=str(wrong))
-            self.router.ended(self.name, request.call, AttemptEnd(io.Outcome.NUMBER_FAULT))
+            self.router.on_ended(self.name, request.call, AttemptEnd(io.Outcome.NUMBER_FAULT))
             return
         self.open.add(request.call)
 
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -127,7 +127,7 @@
 
         def silent() -> None:
             if self.tests.pop(call, None) is not None:
-                self.router.group_state(self.name, io.Load(), ok=False, delay_us=self.clock.now_us() - now)
+                self.router.on_group_state(self.name, io.Load(), ok=False, delay_us=self.clock.now_us() - now)
 
         self.tests[call] = (now, self.clock.call_at(now + PROBE_US, silent))
         if self.connection is not None:
@@ -150,20 +150,20 @@
             case wire.Answered(call, description):
                 self.counts["peer_answers"] += 1
                 self.open.discard(call)
-                self.router.answered(self.name, call, description)
+                self.router.on_answered(self.name, call, description)
             case wire.Released(call, cause, note, report):
                 self.counts[f"peer_releases_cause_{cause}"] += 1
                 self.open.discard(call)
                 outcome = OUTCOMES.get(cause, io.Outcome.NUMBER_FAULT)
                 end = AttemptEnd(outcome, NOTES.get(note, io.Cause.NONE), load(report))
-                self.router.ended(self.name, call, end)
+                self.router.on_ended(self.name, call, end)
             case wire.GroupState(report):
                 self.counts["peer_group_states"] += 1
-                self.router.group_state(self.name, load(report))
+                self.router.on_group_state(self.name, load(report))
             case wire.Tested(call, passed, report):
                 if (test := self.tests.pop(call, None)) is not None:
                     test[1].cancel()
-                    self.router.group_state(self.name, load(report), passed, self.clock.now_us() - test[0])
+                    self.router.on_group_state(self.name, load(report), passed, self.clock.now_us() - test[0])
 
     def _write(self, data: bytes) -> None:
         if self.connection is not None:
@@ -232,7 +232,7 @@
         """Send a set-up."""
         self.links[peer].set_up(request, deadline_us)
 
-    def give_up(self, peer: str, call: str) -> None:
+    def cancel_set_up(self, peer: str, call: str) -> None:
         """Give up a set-up that is out."""
         self.release(peer, call, NORMAL)
 
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -100,7 +100,7 @@
                 self._tell(request.id, api.Cancelled(request.id))
             else:  # it crossed the answer, or came twice: the call is as was told
                 session.tell(call.told)
-        elif self.router.hang_up(request.id, request.cause):
+        elif self.router.release_call(request.id, request.cause):
             self._tell(request.id, api.Released(request.id, request.cause))
         elif call.ended_us is not None:
             session.tell(call.told)
@@ -147,22 +147,22 @@
         if call.session is not None:
             call.session.tell(message)
 
-    def answered(self, call: str, description: bytes) -> None:
+    def on_answered(self, call: str, description: bytes) -> None:
         """The call stands."""
         self.counts["ws_answers_sent"] += 1
         self._tell(call, api.Answer(call, description.decode("utf-8", "replace")))
 
-    def refused(self, call: str, wait_us: int) -> None:
+    def on_refused(self, call: str, wait_us: int) -> None:
         """Turned away; the caller is told when to return."""
         self.counts["ws_refusals_sent"] += 1
         self._tell(call, api.Refused(call, -(-wait_us // 1000)))
 
-    def failed(self, call: str) -> None:
+    def on_failed(self, call: str) -> None:
         """The call has failed."""
         self.counts["ws_failures_sent"] += 1
         self._tell(call, api.Failed(call))
 
-    def released(self, call: str, cause: int) -> None:
+    def on_released(self, call: str, cause: int) -> None:
         """A call that stood is over."""
         self.counts["ws_releases_sent"] += 1
         self._tell(call, api.Released(call, cause))
--- a/benchmarks/narrowing.py
+++ b/benchmarks/narrowing.py
@@ -88,7 +88,7 @@
 
     def state(self, peer: str) -> None:
         """A peer tells its free circuits."""
-        self.router.group_state(peer, io.Load(free=CIRCUITS - self.taken[peer], size=CIRCUITS))
+        self.router.on_group_state(peer, io.Load(free=CIRCUITS - self.taken[peer], size=CIRCUITS))
 
     def set_up(self, peer: str, request: Request, deadline_us: int) -> None:
         """The peers' port."""
@@ -97,15 +97,15 @@
 
         def ends() -> None:
             self.taken[peer] -= 1
-            self.router.ended(peer, call, AttemptEnd(io.Outcome.OK))
+            self.router.on_ended(peer, call, AttemptEnd(io.Outcome.OK))
             self.state(peer)
 
         def answers() -> None:
-            self.router.answered(peer, call, b"")
+            self.router.on_answered(peer, call, b"")
             self.call_at(self.now + int(self.source.expovariate(1 / HOLD_US)), ends)
         self.call_at(self.now + DELAY_US, answers)
 
-    def give_up(self, peer: str, call: str) -> None:
+    def cancel_set_up(self, peer: str, call: str) -> None:
         """The peers' port."""
 
     def release(self, peer: str, call: str, cause: int) -> None:
@@ -114,19 +114,19 @@
     def probe(self, peer: str) -> None:
         """The peers' port."""
 
-    def answered(self, call: str, description: bytes) -> None:
+    def on_answered(self, call: str, description: bytes) -> None:
         """The caller's port."""
         self.finals["stood"] += 1
 
-    def refused(self, call: str, wait_us: int) -> None:
+    def on_refused(self, call: str, wait_us: int) -> None:
         """The caller's port."""
         self.finals["refused"] += 1
 
-    def failed(self, call: str) -> None:
+    def on_failed(self, call: str) -> None:
         """The caller's port."""
         self.finals["failed"] += 1
 
-    def released(self, call: str, cause: int) -> None:
+    def on_released(self, call: str, cause: int) -> None:
         """The caller's port."""
 
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -90,7 +90,7 @@
     assert (first.finals["b"], first.overs["b"], third.admitted) == (1, 1, ["a"])
     assert world.router.counts["gate_refused_second_why"] == 1
     first.order.clear()
-    world.router.answered("x1", "a", b"theirs")
+    world.router.on_answered("x1", "a", b"theirs")
     assert first.order == ["first final"]
     world.peer_ends("a", io.Outcome.OK)
     assert first.order == ["first final", "first over"]
@@ -127,10 +127,10 @@
 def test_calls_that_may_not_go_direct_do_not_stand_in_the_way_of_those_that_wait_for_the_direct_group() -> None:
     world = World((book(Admission(narrowing=Narrowing((frozenset({2}),))), Admission()),))
     for peer in ("x1", "x2", "x3"):
-        world.router.group_state(peer, io.Load(free=0.0, size=20.0))
+        world.router.on_group_state(peer, io.Load(free=0.0, size=20.0))
     world.offer("round")
     world.offer("direct")
-    world.router.group_state("x1", io.Load(free=1.0, size=20.0))
+    world.router.on_group_state("x1", io.Load(free=1.0, size=20.0))
     assert world.sent == [("x1", "direct")]
     assert world.finals["direct"] == 0
 
@@ -153,7 +153,7 @@
     if shut:
         assert world.waits["a"] > 0
     else:
-        world.router.answered("x1", "a", b"theirs")
+        world.router.on_answered("x1", "a", b"theirs")
         assert world.finals["a"] == 1
 
 
@@ -162,7 +162,7 @@
     world = World((sound, faulty))
     world.offer("a")
     faulty.final = lambda *values: 1 / 0  # type: ignore[method-assign,assignment]
-    world.router.answered("x1", "a", b"theirs")
+    world.router.on_answered("x1", "a", b"theirs")
     assert (sound.finals["a"], world.router.counts["gate_faults"]) == (1, 1)
 
 
@@ -253,7 +253,7 @@
     versions.restore(VersionId(1, 2), build(iter([Exchange(0), Exchange(3)])), world.now)
     world.pass_time(SECOND)
     assert world.sent == [("x1", "a"), ("x1", "a")]
-    world.router.answered("x1", "a", b"theirs")
+    world.router.on_answered("x1", "a", b"theirs")
     assert (world.finals["a"], world.router.calls["a"].label) == (1, "1.1")
     assert policy.versions.in_force is not None
     world.peer_ends("a", io.Outcome.OK)
@@ -274,9 +274,9 @@
         elif end == "timeout":
             world.pass_time(4 * SECOND)
         else:
-            world.router.answered(world.out[end], end, b"theirs")
+            world.router.on_answered(world.out[end], end, b"theirs")
             if end == "ended":
                 world.peer_ends(end, io.Outcome.OK)
             else:
-                world.router.hang_up(end, 16)
+                world.router.release_call(end, 16)
         assert not policy.desk.in_hand
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -86,7 +86,7 @@
         self.sent.append((peer, request.call))
         self.out[request.call] = peer
 
-    def give_up(self, peer: str, call: str) -> None:
+    def cancel_set_up(self, peer: str, call: str) -> None:
         self.release(peer, call, NORMAL)
         self.ended_us[call] = self.now
 
@@ -100,15 +100,15 @@
 
     # the caller
 
-    def answered(self, call: str, description: bytes) -> None:
+    def on_answered(self, call: str, description: bytes) -> None:
         self.finals[call] += 1
         self.answers[call] = description.decode()
 
-    def refused(self, call: str, wait_us: int) -> None:
+    def on_refused(self, call: str, wait_us: int) -> None:
         self.finals[call] += 1
         self.waits[call] = wait_us
 
-    def failed(self, call: str) -> None:
+    def on_failed(self, call: str) -> None:
         self.finals[call] += 1
 
     # what tests do
@@ -126,17 +126,17 @@
         peer = self.out.pop(call)
         if outcome is io.Outcome.CUT:
             self.ended_us[call] = self.now
-        self.router.ended(peer, call, AttemptEnd(outcome, cause))
+        self.router.on_ended(peer, call, AttemptEnd(outcome, cause))
 
 
 class Callee:
     """The caller's port: World has a release of its own, towards peers."""
 
     def __init__(self, world: World) -> None:
-        self.answered, self.refused, self.failed = world.answered, world.refused, world.failed
+        self.on_answered, self.on_refused, self.on_failed = world.on_answered, world.on_refused, world.on_failed
         self.world = world
 
-    def released(self, call: str, cause: int) -> None:
+    def on_released(self, call: str, cause: int) -> None:
         self.world.over[call] += 1
 
 
@@ -144,7 +144,7 @@
     world = World()
     world.offer("a")
     assert world.sent == [("x1", "a")]
-    world.router.answered("x1", "a", b"theirs")
+    world.router.on_answered("x1", "a", b"theirs")
     world.pass_time(20 * SECOND)  # no time-out runs for a call that stands
     assert world.answers == {"a": "theirs"}
     world.peer_ends("a", io.Outcome.OK)
@@ -173,7 +173,7 @@
     world.offer("a")
     assert world.router.cancel("a")
     world.released.clear()
-    world.router.answered("x1", "a", b"too late")
+    world.router.on_answered("x1", "a", b"too late")
     assert world.released == [("x1", "a", NORMAL)]
     assert not world.finals["a"]
 
@@ -181,10 +181,10 @@
 def test_a_cancel_that_crosses_the_answer_leaves_the_call_standing() -> None:
     world = World()
     world.offer("a")
-    world.router.answered("x1", "a", b"theirs")
+    world.router.on_answered("x1", "a", b"theirs")
     assert not world.router.cancel("a")
-    assert world.router.hang_up("a", NORMAL)
-    assert not world.router.hang_up("a", NORMAL)
+    assert world.router.release_call("a", NORMAL)
+    assert not world.router.release_call("a", NORMAL)
     assert world.released == [("x1", "a", NORMAL)]
 
 
@@ -203,17 +203,17 @@
     world.pass_time(40_000)
     world.peer_ends("first", io.Outcome.NUMBER_FAULT)  # a round trip takes 40 ms
     for peer in ("x1", "x2", "x3"):  # no way round either
-        world.router.group_state(peer, io.Load(free=0.0, size=20.0))
+        world.router.on_group_state(peer, io.Load(free=0.0, size=20.0))
     for name in "abc":
         world.offer(name)
     world.sent.clear()
-    world.router.group_state("x1", io.Load(free=1.0, size=20.0))
+    world.router.on_group_state("x1", io.Load(free=1.0, size=20.0))
     assert len(world.sent) == 1
     world.pass_time(5_000)
-    world.router.group_state("x1", io.Load(free=1.0, size=20.0))  # it left before our set-up came
+    world.router.on_group_state("x1", io.Load(free=1.0, size=20.0))  # it left before our set-up came
     assert len(world.sent) == 1
     world.pass_time(40_000)
-    world.router.group_state("x1", io.Load(free=1.0, size=20.0))
+    world.router.on_group_state("x1", io.Load(free=1.0, size=20.0))
     assert len(world.sent) == 2
 
 
@@ -237,7 +237,7 @@
 def test_calls_at_a_machine_that_left_the_list_are_cut() -> None:
     world = World()
     world.offer("a", dest=3)
-    world.router.answered("x3", "a", b"theirs")
+    world.router.on_answered("x3", "a", b"theirs")
     world.roster(io.Readiness.DRAINING)
     assert not world.over
     world.roster(io.Readiness.GONE)
@@ -274,7 +274,7 @@
     @rule(at=st.integers(0, 9))
     def answer(self, at: int) -> None:
         if (name := self.pick(at, list(self.world.out))) is not None:
-            self.world.router.answered(self.world.out[name], name, b"theirs")
+            self.world.router.on_answered(self.world.out[name], name, b"theirs")
 
     @rule(at=st.integers(0, 9), outcome=st.sampled_from([
         io.Outcome.OK, io.Outcome.TURNED_AWAY, io.Outcome.NUMBER_FAULT, io.Outcome.CUT, io.Outcome.NOT_SENT,
@@ -291,7 +291,7 @@
     @rule(at=st.integers(0, 30), cause=st.sampled_from([NORMAL, CUT]))
     def hang_up(self, at: int, cause: int) -> None:
         if (name := self.pick(at, list(self.offered))) is not None:
-            self.world.router.hang_up(name, cause)
+            self.world.router.release_call(name, cause)
 
     @rule(readiness=st.sampled_from(io.Readiness))
     def roster(self, readiness: io.Readiness) -> None:
@@ -303,7 +303,7 @@
 
     @rule(peer=st.integers(1, 3), free=st.integers(0, 5))
     def circuits(self, peer: int, free: int) -> None:
-        self.world.router.group_state(f"x{peer}", io.Load(free=float(free), size=20.0))
+        self.world.router.on_group_state(f"x{peer}", io.Load(free=float(free), size=20.0))
 
     @invariant()
     def rules_hold(self) -> None:
@@ -326,7 +326,7 @@
     world.offer("a", wait_us=130_000)  # an answer takes 40 ms: a wide margin would have left it 30
     world.pass_time(100_000)
     assert not world.finals
-    world.router.answered(world.out["a"], "a", b"answer")
+    world.router.on_answered(world.out["a"], "a", b"answer")
     assert world.answers == {"a": "answer"}
     world.offer("b", wait_us=130_000)
     world.pass_time(130_000)
