--- a/astertrack/core/gate.py
+++ b/astertrack/core/gate.py
@@ -3,7 +3,7 @@
 A policy may resolve a call's destination, narrow where its set-ups may go, or refuse it with a wait. It decides
 neither server nor retry nor, among admitted calls, whom to turn away: those stay with the module. Whatever a
 policy does, it is told exactly once how a call it admitted was answered, and exactly once that nothing of the
-call is left, in reverse order of admission, also where a later policy refused it.
+call is left, in reverse order of approval, also where a later policy refused it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Narrowing:
+class RouteConstraint:
     """Where a call's set-ups may go, by the exchanges' numbers.
 
     `tiers`: groups of exchanges, the first before the second; None stands for every exchange. Empty: any.
@@ -36,25 +36,25 @@
         return number not in self.never and (
             not self.tiers or any(tier is None or number in tier for tier in self.tiers))
 
-    def and_also(self, other: Narrowing) -> Narrowing:
+    def intersect(self, other: RouteConstraint) -> RouteConstraint:
         """Return what both permit: in this one's order, and within a tier of it in the other's."""
         never = self.never | other.never
         if not self.tiers or not other.tiers:
-            return Narrowing(self.tiers or other.tiers, never)
+            return RouteConstraint(self.tiers or other.tiers, never)
         both = [a if b is None else b if a is None else a & b for a in self.tiers for b in other.tiers]
         kept = tuple(tier for tier in both if tier is None or tier - never)
-        return Narrowing(kept or (frozenset(),), never)
+        return RouteConstraint(kept or (frozenset(),), never)
 
 
-FREE = Narrowing()
+UNCONSTRAINED = RouteConstraint()
 
 
 @dataclass(frozen=True, slots=True)
-class Admission:
+class Approval:
     """A policy lets a call pass: whither (None: as it came), how, and what the policy wants back at its end."""
 
     dest: int | None = None
-    narrowing: Narrowing = FREE
+    constraint: RouteConstraint = UNCONSTRAINED
     label: str = ""  # for the call's log lines and its record, such as the version of the plan it follows
     token: object = None
 
@@ -65,7 +65,7 @@
 
     cause: str
     wait_us: int
-    label: str = ""  # as an Admission's
+    label: str = ""  # as an Approval's
 
 
 class Policy(Protocol):
@@ -74,9 +74,9 @@
     name: str
     # Whether a fault of the policy refuses the call: so it must be where admitting is the greater harm (rights),
     # not where refusing is (routes, gaps).
-    shut_on_fault: bool
+    fail_closed: bool
 
-    def admit(self, request: Request, now_us: int) -> Admission | Refusal | None:
+    def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
         """Take a view of an offered call; None: it passes, and the policy hears no more of it."""
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
@@ -92,27 +92,27 @@
         """Hear that nothing of the call is in hand any more."""
 
 
-class Ticket:
+class Admission:
     """What the gate made of one call; kept with it until its end."""
 
-    __slots__ = ("_gate", "_held", "label", "narrowing")
+    __slots__ = ("_gate", "_held", "constraint", "label")
 
     def __init__(self, gate: Gate) -> None:
         self._gate = gate
         self._held: list[tuple[Policy, object]] = []
-        self.narrowing = FREE
+        self.constraint = UNCONSTRAINED
         self.label = ""
 
-    def add(self, policy: Policy, admission: Admission) -> None:
+    def add(self, policy: Policy, approval: Approval) -> None:
         """Take in what one policy said."""
-        self._held.append((policy, admission.token))
-        self.narrowing = admission.narrowing if self.narrowing is FREE else (
-            self.narrowing.and_also(admission.narrowing))
-        self.label = ",".join(x for x in (self.label, admission.label) if x)
+        self._held.append((policy, approval.token))
+        self.constraint = approval.constraint if self.constraint is UNCONSTRAINED else (
+            self.constraint.intersect(approval.constraint))
+        self.label = ",".join(x for x in (self.label, approval.label) if x)
 
     def permits(self, request: Request, entry: io.Entry, now_us: int) -> bool:
         """Whether a set-up may go to this exchange now. The last word, whatever the module asked for."""
-        return self.narrowing.permits(entry.number) and all(
+        return self.constraint.permits(entry.number) and all(
             self._gate.ask(policy, token, request, entry, now_us) for policy, token in self._held)
 
     def sent(self, request: Request, entry: io.Entry, now_us: int) -> None:
@@ -136,32 +136,32 @@
     """The list of policies. A fault in one costs its own say, never the call its answer."""
 
     def __init__(self, policies: Sequence[Policy], log: Log, counts: Counter[str],
-                 resolves: bool = False) -> None:
+                 resolves_destination: bool = False) -> None:
         self.policies, self.log, self.counts = tuple(policies), log, counts
-        self.resolves = resolves  # whether a call may come without a destination: a policy finds it
-        self._open = Ticket(self)  # for all calls, while there is no policy
+        self.resolves_destination = resolves_destination  # True: calls may come without one, as a policy supplies it
+        self._open = Admission(self)  # for all calls, while there is no policy
 
-    def admit(self, request: Request, now_us: int) -> Ticket | Refusal:
+    def admit(self, request: Request, now_us: int) -> Admission | Refusal:
         """Ask every policy in order; the first refusal stands. May set the request's destination."""
         if not self.policies:
             return self._open
-        ticket = Ticket(self)
+        admission = Admission(self)
         for policy in self.policies:
             try:
                 verdict = policy.admit(request, now_us)
             except Exception as wrong:
                 self._fault(policy, "admit", wrong)
-                verdict = Refusal("fault", FAULT_WAIT_US) if policy.shut_on_fault else None
+                verdict = Refusal("fault", FAULT_WAIT_US) if policy.fail_closed else None
             if isinstance(verdict, Refusal):
                 self.counts[f"gate_refused_{policy.name}_{verdict.cause}".replace("-", "_")] += 1
-                ticket.final(request, Final.REFUSED, now_us)
-                ticket.over(request, now_us)
+                admission.final(request, Final.REFUSED, now_us)
+                admission.over(request, now_us)
                 return verdict
             if verdict is not None:
                 if verdict.dest is not None:
                     request.dest = verdict.dest
-                ticket.add(policy, verdict)
-        return ticket
+                admission.add(policy, verdict)
+        return admission
 
     def ask(self, policy: Policy, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
         """Ask one policy about a set-up."""
@@ -169,7 +169,7 @@
             return policy.permits(token, request, entry, now_us)
         except Exception as wrong:
             self._fault(policy, "permits", wrong)
-            return not policy.shut_on_fault
+            return not policy.fail_closed
 
     def tell(self, policy: Policy, what: str, *values: object) -> None:
         """Tell one policy something; its faults stay its own."""
--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from astertrack.core.gate import Gate, Refusal, Ticket
+from astertrack.core.gate import Admission, Gate, Refusal
 from astertrack.core.model import (
     CUT,
     NORMAL,
@@ -55,7 +55,7 @@
     caller: Caller
     taken_us: int
     answer_by_us: int
-    ticket: Ticket | None = None  # what the gate made of it; None: not through the gate
+    admission: Admission | None = None  # what the gate made of it; None: not through the gate
     label: str = ""  # what the gate wants said of it, such as the version of the plan that it follows
     guard: Timer | None = None  # refuses the call should nothing else have answered it
     attempt: Attempt | None = None
@@ -109,12 +109,12 @@
             call.label = passed.label
             self._answer(call, Final.REFUSED, passed.wait_us)
             return True
-        call.ticket, call.label = passed, passed.label
+        call.admission, call.label = passed, passed.label
         call.guard = self.clock.call_at(call.answer_by_us, lambda: self._overdue(call))
         self._feed(io.CallOffered(
             request.call, request.service, request.dest, request.number, request.deadline_us, request.width,
             request.tenant, request.transit, request.via, request.repeated, request.cut_before,
-            passed.narrowing.tiers, passed.narrowing.never))
+            passed.constraint.tiers, passed.constraint.never))
         return True
 
     def cancel(self, name: str) -> bool:
@@ -170,8 +170,8 @@
         self.counts["final_answered"] += 1
         call.caller.on_answered(name, description)
         self._note(call, Final.ANSWERED.value)
-        if call.ticket is not None:
-            call.ticket.final(call.request, Final.ANSWERED, self.now_us())
+        if call.admission is not None:
+            call.admission.final(call.request, Final.ANSWERED, self.now_us())
         delay = self.now_us() - call.attempt.sent_us
         self._feed(io.CallStands(name, call.attempt.number, peer, delay))
 
@@ -314,7 +314,7 @@
         if (call.attempt is not None or number >= self.settings.max_attempts or now < call.not_before_us
                 or entry is None or entry.readiness is not io.Readiness.READY or deadline_us <= now
                 or no_circuit
-                or (call.ticket is not None and not call.ticket.permits(call.request, entry, now))):
+                or (call.admission is not None and not call.admission.permits(call.request, entry, now))):
             self.counts["attempts_moot_here"] += 1
             cause = io.Cause.NO_CIRCUIT if no_circuit else io.Cause.NONE
             self._feed(io.AttemptEnded(name, number, peer, io.Outcome.NOT_SENT, 0, False, cause))
@@ -322,8 +322,8 @@
         call.attempt = attempt = Attempt(number, peer, now)
         self.at_peer.setdefault(peer, {})[name] = call
         self.counts["attempts_sent"] += 1
-        if call.ticket is not None:
-            call.ticket.sent(call.request, entry, now)
+        if call.admission is not None:
+            call.admission.sent(call.request, entry, now)
         attempt.timer = self.clock.call_at(deadline_us, lambda: self._timed_out(call, attempt))
         self.peers.set_up(peer, call.request, deadline_us)
 
@@ -387,8 +387,8 @@
         self.counts["calls_ended" if ended else "calls_cut"] += 1
         self._note(call, "ended" if ended else "cut")
         self.calls.pop(call.request.call, None)
-        if call.ticket is not None:
-            call.ticket.over(call.request, self.now_us())
+        if call.admission is not None:
+            call.admission.over(call.request, self.now_us())
         self._attempt_over(call, end, settled=True)
 
     def _answer(self, call: Call, final: Final, wait_us: int = 0) -> None:
@@ -404,10 +404,10 @@
         self.calls.pop(call.request.call, None)
         self.counts["final_" + final.value.replace(" ", "_")] += 1
         self._note(call, final.value)
-        if call.ticket is not None:
+        if call.admission is not None:
             now = self.now_us()
-            call.ticket.final(call.request, final, now)
-            call.ticket.over(call.request, now)
+            call.admission.final(call.request, final, now)
+            call.admission.over(call.request, now)
 
     def _stop(self, call: Call) -> None:
         """No time-out runs for a call that is answered."""
--- a/astertrack/net/callers.py
+++ b/astertrack/net/callers.py
@@ -263,7 +263,7 @@
             return None
         dest, width, via = attrs.get("dest", -1.0), attrs.get("width", 1.0), attrs.get("via", -1.0)
         now, longest = self.router.now_us(), self.router.settings.classes[service].deadline_us
-        least = -1 if self.router.gate.resolves else 0  # without a destination: the plan finds it by the number
+        least = -1 if self.router.gate.resolves_destination else 0  # -1: the plan finds it by the number
         if not (least <= dest < 2**31 and dest.is_integer() and 0 < width <= WIDTH_MOST
                 and -1 <= via < 2**31 and via.is_integer() and event.wait_ms * 1000 <= DEADLINES * longest
                 and attrs.get("transit", 0) in (0, 1) and attrs.get("again", 0) in (0, 1)):
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -111,7 +111,7 @@
         service = self.classes.get(asked.service)
         if service is None:
             raise api.BadMessage("unknown-class", "no such class of call", asked.id)
-        if asked.dest < 0 and not self.router.gate.resolves:
+        if asked.dest < 0 and not self.router.gate.resolves_destination:
             raise api.BadMessage("bad-field", "field dest is needed: there is no plan to find it by", asked.id)
         if asked.id in self.router.calls:
             raise api.BadMessage("id-in-use", "another caller's call has this id", asked.id)
--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -18,7 +18,7 @@
 
 from astertrack.checking import expected_at
 from astertrack.config import ConfigError, split_address
-from astertrack.core import Admission, Final, Narrowing, Policy, Refusal, Request, Router
+from astertrack.core import Approval, Final, Policy, Refusal, Request, RouteConstraint, Router
 from astertrack.net.control import TICK_US, ControlClient
 from astertrack.parts import read_tables
 from astertrack.parts.model import Given
@@ -125,12 +125,12 @@
     """The gate's entry for the plan in force."""
 
     name = "plan"
-    shut_on_fault = False
+    fail_closed = False
 
     def __init__(self, versions: Versions, desk: Desk) -> None:
         self.versions, self.desk = versions, desk
 
-    def admit(self, request: Request, now_us: int) -> Admission | Refusal | None:
+    def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
         """Resolve, narrow or refuse a call by the version in force at this instant."""
         version = self.versions.due(now_us)
         if version is None:
@@ -144,10 +144,10 @@
                 self._outcome(version, request, dest, now_us, failed=True)
             return Refusal(verdict.cause, verdict.wait_us, label)
         way = verdict.way
-        return Admission(way.dest, Narrowing(way.tiers, way.never), label, _Token(version, verdict, dest))
+        return Approval(way.dest, RouteConstraint(way.tiers, way.never), label, _Token(version, verdict, dest))
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
-        """The narrowing has said it."""
+        """The constraint has said it."""
         return True
 
     def sent(self, token: object, request: Request, entry: io.Entry, now_us: int) -> None:
--- a/benchmarks/narrowing.py
+++ b/benchmarks/narrowing.py
@@ -1,4 +1,4 @@
-"""How a plan's narrowing should reach the module: told with the call, or met by 'not sent' when it sends.
+"""How a plan's constraint should reach the module: told with the call, or met by 'not sent' when it sends.
 
 One router's core with stand-in ports in virtual time, twelve exchanges, calls to each of them, of which a part may go
 neither direct nor over any but two tandems. Both ways keep the plan; counted is what becomes of the calls, and what
@@ -17,7 +17,7 @@
 from dataclasses import replace
 from typing import Any
 
-from astertrack.core import Admission, AttemptEnd, Gate, Narrowing, Refusal, Request, Router
+from astertrack.core import Approval, AttemptEnd, Gate, Refusal, Request, RouteConstraint, Router
 from ospreylug import interface as io
 
 SECOND = 1_000_000
@@ -133,18 +133,19 @@
 class Plan:
     """Half of the numbers may go over two tandems only, which depend on the destination."""
 
-    name, shut_on_fault = "plan", False
+    name, fail_closed = "plan", False
 
-    def admit(self, request: Request, now_us: int) -> Admission | Refusal | None:
+    def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
         """Narrow a call."""
         if int(request.number) % 100 >= NARROWED * 100:
-            return Admission()
+            return Approval()
         first = 1 + request.dest % (EXCHANGES - 1)
         second = 1 + (request.dest + 3) % (EXCHANGES - 1)
-        return Admission(narrowing=Narrowing((frozenset({first}), frozenset({second})), frozenset({request.dest})))
+        return Approval(constraint=RouteConstraint((frozenset({first}), frozenset({second})),
+                                                   frozenset({request.dest})))
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
-        """The narrowing says it."""
+        """The constraint says it."""
         return True
 
     def sent(self, token: object, request: Request, entry: io.Entry, now_us: int) -> None:
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -14,23 +14,23 @@
 from hypothesis.stateful import invariant
 from test_router import Calls, World
 
-from astertrack.core import Admission, Final, Narrowing, Refusal, Request
+from astertrack.core import Approval, Final, Refusal, Request, RouteConstraint
 from astertrack.parts.versions import PlanPolicy
 from astertrack.plan import Desk, Plan, build
 from astertrack.plan.model import Choice, Exchange, Limit, Prefix
 from astertrack.versions import Rules, VersionId, Versions, make_document, write_header
 from ospreylug import interface as io
 
-Verdict = Callable[[Request], Admission | Refusal | None]
+Verdict = Callable[[Request], Approval | Refusal | None]
 TIERS = st.lists(st.none() | st.frozensets(st.integers(0, 4), max_size=3), max_size=3).map(tuple)
-NARROWINGS = st.builds(Narrowing, TIERS, st.frozensets(st.integers(0, 4), max_size=2))
+NARROWINGS = st.builds(RouteConstraint, TIERS, st.frozensets(st.integers(0, 4), max_size=2))
 
 
 class Book:
     """A policy that does as it is told and keeps a book."""
 
     def __init__(self, verdict: Verdict, name: str = "book", shut: bool = False) -> None:
-        self.verdict, self.name, self.shut_on_fault = verdict, name, shut
+        self.verdict, self.name, self.fail_closed = verdict, name, shut
         self.admitted: list[str] = []
         self.finals: Counter[str] = Counter()
         self.overs: Counter[str] = Counter()
@@ -38,10 +38,10 @@
         self.shut: set[int] = set()
         self.order: list[str] = []
 
-    def admit(self, request: Request, now_us: int) -> Admission | Refusal | None:
+    def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
         """Do as told."""
         verdict = self.verdict(request)
-        if isinstance(verdict, Admission):
+        if isinstance(verdict, Approval):
             self.admitted.append(request.call)
         return verdict
 
@@ -73,15 +73,15 @@
         return super().__getattribute__(name)
 
 
-def book(*verdicts: Admission | Refusal | None, name: str = "book", shut: bool = False) -> Book:
+def book(*verdicts: Approval | Refusal | None, name: str = "book", shut: bool = False) -> Book:
     """A policy that says these, one after the other, the last for ever."""
     left = list(verdicts)
     return Book(lambda request: left.pop(0) if len(left) > 1 else left[0], name, shut)
 
 
 def test_the_first_refusal_stands_and_earlier_policies_are_told_that_it_is_over() -> None:
-    first, second = book(Admission(), name="first"), book(Admission(), Refusal("why", 5), name="second")
-    third = book(Admission(), name="third")
+    first, second = book(Approval(), name="first"), book(Approval(), Refusal("why", 5), name="second")
+    third = book(Approval(), name="third")
     world = World((first, second, third))
     world.offer("a")
     world.offer("b")
@@ -99,7 +99,7 @@
 def test_a_policy_resolves_the_destination_for_those_after_it_and_for_the_module() -> None:
     seen: list[int] = []
     later = Book(lambda request: seen.append(request.dest))
-    world = World((book(Admission(dest=2)), later))
+    world = World((book(Approval(dest=2)), later))
     world.offer("a", dest=1)
     assert world.sent == [("x2", "a")]
     assert seen == [2]
@@ -107,7 +107,7 @@
 
 
 def test_a_narrowed_call_goes_over_the_first_tier_that_has_room_and_never_elsewhere() -> None:
-    world = World((book(Admission(narrowing=Narrowing((frozenset({3}), frozenset({2})), frozenset({1})))),))
+    world = World((book(Approval(constraint=RouteConstraint((frozenset({3}), frozenset({2})), frozenset({1})))),))
     world.offer("a", dest=1)
     assert world.sent == [("x3", "a")]
     world.peer_ends("a", io.Outcome.TURNED_AWAY, io.Cause.CRANKBACK)
@@ -119,13 +119,13 @@
 
 
 def test_a_call_that_may_go_nowhere_is_refused_at_once() -> None:
-    world = World((book(Admission(narrowing=Narrowing((frozenset(),)))),))
+    world = World((book(Approval(constraint=RouteConstraint((frozenset(),)))),))
     world.offer("a")
     assert (world.finals["a"], world.sent) == (1, [])
 
 
 def test_calls_that_may_not_go_direct_do_not_stand_in_the_way_of_those_that_wait_for_the_direct_group() -> None:
-    world = World((book(Admission(narrowing=Narrowing((frozenset({2}),))), Admission()),))
+    world = World((book(Approval(constraint=RouteConstraint((frozenset({2}),))), Approval()),))
     for peer in ("x1", "x2", "x3"):
         world.router.on_group_state(peer, io.Load(free=0.0, size=20.0))
     world.offer("round")
@@ -136,7 +136,7 @@
 
 
 def test_the_last_word_at_the_moment_of_sending_is_the_policies() -> None:
-    shut = book(Admission())
+    shut = book(Approval())
     shut.shut = {1}
     world = World((shut,))
     world.offer("a")
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("shut", [False, True])
 def test_a_fault_in_a_policy_costs_no_call_its_answer(shut: bool) -> None:
-    world = World((Faulty(lambda request: None, shut=shut), book(Admission())))
+    world = World((Faulty(lambda request: None, shut=shut), book(Approval())))
     world.offer("a")
     assert world.router.counts["gate_faults"] >= 1
     if shut:
@@ -158,7 +158,7 @@
 
 
 def test_a_fault_while_a_call_is_told_of_leaves_the_others_told() -> None:
-    faulty, sound = book(Admission()), book(Admission())
+    faulty, sound = book(Approval()), book(Approval())
     world = World((sound, faulty))
     world.offer("a")
     faulty.final = lambda *values: 1 / 0  # type: ignore[method-assign,assignment]
@@ -167,8 +167,8 @@
 
 
 @given(NARROWINGS, NARROWINGS, st.integers(0, 4))
-def test_two_narrowings_together_permit_what_both_do(one: Narrowing, other: Narrowing, number: int) -> None:
-    assert one.and_also(other).permits(number) is (one.permits(number) and other.permits(number))
+def test_two_narrowings_together_permit_what_both_do(one: RouteConstraint, other: RouteConstraint, number: int) -> None:
+    assert one.intersect(other).permits(number) is (one.permits(number) and other.permits(number))
 
 
 class NarrowedCalls(Calls):
@@ -177,15 +177,15 @@
     def make_world(self) -> World:
         draw = random.Random(5)
 
-        def verdict(request: Request) -> Admission | Refusal | None:
+        def verdict(request: Request) -> Approval | Refusal | None:
             kind = draw.random()
             if kind < 0.2:
                 return None if kind < 0.1 else Refusal("drawn", 1_000)
             tiers = tuple(draw.choice([None, frozenset(draw.sample(range(4), 2))]) for _ in range(draw.randrange(3)))
             self.narrowings.setdefault(request.call, []).append(
-                narrowing := Narrowing(tiers, frozenset(draw.sample(range(4), draw.randrange(2)))))
-            return Admission(draw.choice([None, None, 2]), narrowing)
-        self.narrowings: dict[str, list[Narrowing]] = {}
+                constraint := RouteConstraint(tiers, frozenset(draw.sample(range(4), draw.randrange(2)))))
+            return Approval(draw.choice([None, None, 2]), constraint)
+        self.narrowings: dict[str, list[RouteConstraint]] = {}
         self.books = [Book(verdict, "one"), Book(verdict, "two")]
         return World(self.books)
 
@@ -193,7 +193,7 @@
     def what_policies_say_holds_and_they_are_told_once(self) -> None:
         """Whatever came before."""
         for peer, call in self.world.sent:
-            assert all(narrowing.permits(int(peer[1:])) for narrowing in self.narrowings.get(call, []))
+            assert all(constraint.permits(int(peer[1:])) for constraint in self.narrowings.get(call, []))
         for policy in self.books:
             admitted = set(policy.admitted)
             in_hand = set(self.world.router.calls)
