--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from astertrack.core.gate import Gate, Refusal, Ticket
+from astertrack.core.gate import Admission, Gate, Refusal
 from astertrack.core.model import (
     CUT,
     NORMAL,
@@ -55,7 +55,7 @@
     caller: Caller
     taken_us: int
     answer_by_us: int
-    ticket: Ticket | None = None  # what the gate made of it; None: not through the gate
+    admission: Admission | None = None  # what the gate made of it; None: not through the gate
     label: str = ""  # what the gate wants said of it, such as the version of the plan that it follows
     guard: Timer | None = None  # refuses the call should nothing else have answered it
     attempt: Attempt | None = None
@@ -82,7 +82,7 @@
         self.counts: Counter[str] = counts if counts is not None else Counter()
         self.gate = gate if gate is not None else Gate((), log, self.counts)
         self._seen: set[str] | None = set()  # calls of this process, while orphans may come
-        clock.at(clock.now_us() + ORPHAN_US, self._no_more_orphans)
+        clock.call_at(clock.now_us() + ORPHAN_US, self._no_more_orphans)
         self._events: deque[io.Event] = deque()
         self._busy = False
         self._now_us = 0
@@ -109,12 +109,12 @@
             call.label = passed.label
             self._answer(call, Final.REFUSED, passed.wait_us)
             return True
-        call.ticket, call.label = passed, passed.label
-        call.guard = self.clock.at(call.answer_by_us, lambda: self._overdue(call))
+        call.admission, call.label = passed, passed.label
+        call.guard = self.clock.call_at(call.answer_by_us, lambda: self._overdue(call))
         self._feed(io.CallOffered(
             request.call, request.service, request.dest, request.number, request.deadline_us, request.width,
             request.tenant, request.transit, request.via, request.repeated, request.cut_before,
-            passed.narrowing.tiers, passed.narrowing.never))
+            passed.constraint.tiers, passed.constraint.never))
         return True
 
     def cancel(self, name: str) -> bool:
@@ -131,7 +131,7 @@
             self._give_up(call, io.Outcome.CALLED_OFF, settled=True)
         return True
 
-    def hang_up(self, name: str, cause: int) -> bool:
+    def release_call(self, name: str, cause: int) -> bool:
         """The caller releases a call that stands; False if there is none."""
         call = self.calls.get(name)
         if call is None and self._seen is not None and name not in self._seen:
@@ -148,13 +148,13 @@
         self._over(call, AttemptEnd(io.Outcome.OK if cause == NORMAL else io.Outcome.CUT))
         return True
 
-    def unanswered(self) -> int:
+    def count_unanswered(self) -> int:
         """Return how many calls wait for their final answer."""
         return sum(not call.standing for call in self.calls.values())
 
     # ---- what peers do
 
-    def answered(self, peer: str, name: str, description: bytes) -> None:
+    def on_answered(self, peer: str, name: str, description: bytes) -> None:
         """A peer answered a set-up."""
         call = self._at(peer, name)
         if call is None or call.attempt is None:
@@ -168,14 +168,14 @@
         call.standing = True
         self._stop(call)
         self.counts["final_answered"] += 1
-        call.caller.answered(name, description)
+        call.caller.on_answered(name, description)
         self._note(call, Final.ANSWERED.value)
-        if call.ticket is not None:
-            call.ticket.final(call.request, Final.ANSWERED, self.now_us())
+        if call.admission is not None:
+            call.admission.final(call.request, Final.ANSWERED, self.now_us())
         delay = self.now_us() - call.attempt.sent_us
         self._feed(io.CallStands(name, call.attempt.number, peer, delay))
 
-    def ended(self, peer: str, name: str, end: AttemptEnd) -> None:
+    def on_ended(self, peer: str, name: str, end: AttemptEnd) -> None:
         """A peer ended an attempt, or a call that stood."""
         call = self._at(peer, name)
         if call is None:
@@ -200,14 +200,14 @@
     def _no_more_orphans(self) -> None:
         self._seen = None
 
-    def peer_lost(self, peer: str) -> list[str]:
+    def on_peer_lost(self, peer: str) -> list[str]:
         """A peer's process has died, and its calls with it: nobody else will release them. Returns them."""
         lost = [call for call in self.at_peer.get(peer, {}).values() if call.standing]
         for call in lost:
             self._cut_or_ended(call, AttemptEnd(io.Outcome.CUT))
         return [call.request.call for call in lost]
 
-    def group_state(self, peer: str, load: io.Load, ok: bool = True, delay_us: int = 0) -> None:
+    def on_group_state(self, peer: str, load: io.Load, ok: bool = True, delay_us: int = 0) -> None:
         """A peer told the state of the group towards it, or answered a probe."""
         if peer in self.roster:
             self._feed(io.GroupStatus(peer, ok, delay_us, self._as_of_now(peer, load)))
@@ -227,7 +227,7 @@
             new = self.roster.get(name)
             if new is None:
                 self.free.pop(name, None)
-                self.peer_lost(name)  # a machine that vanished sends no release
+                self.on_peer_lost(name)  # a machine that vanished sends no release
             elif new.started_us and new.started_us != old.started_us:
                 for call in list(self.at_peer.get(name, {}).values()):  # calls of the process before
                     if call.standing and call.attempt and call.attempt.sent_us < new.started_us:
@@ -292,7 +292,7 @@
                 if call is not None and call.attempt is not None and call.attempt.number == number:
                     self._give_up(call, io.Outcome.CALLED_OFF, settled=False)
             case io.SetTimer(token, at_us):
-                self.clock.at(at_us, lambda: self._feed(io.TimerDue(token)))
+                self.clock.call_at(at_us, lambda: self._feed(io.TimerDue(token)))
             case io.Probe(peer):
                 self.counts["probes_sent"] += 1
                 self.peers.probe(peer)
@@ -314,7 +314,7 @@
         if (call.attempt is not None or number >= self.settings.max_attempts or now < call.not_before_us
                 or entry is None or entry.readiness is not io.Readiness.READY or deadline_us <= now
                 or no_circuit
-                or (call.ticket is not None and not call.ticket.permits(call.request, entry, now))):
+                or (call.admission is not None and not call.admission.permits(call.request, entry, now))):
             self.counts["attempts_moot_here"] += 1
             cause = io.Cause.NO_CIRCUIT if no_circuit else io.Cause.NONE
             self._feed(io.AttemptEnded(name, number, peer, io.Outcome.NOT_SENT, 0, False, cause))
@@ -322,9 +322,9 @@
         call.attempt = attempt = Attempt(number, peer, now)
         self.at_peer.setdefault(peer, {})[name] = call
         self.counts["attempts_sent"] += 1
-        if call.ticket is not None:
-            call.ticket.sent(call.request, entry, now)
-        attempt.timer = self.clock.at(deadline_us, lambda: self._timed_out(call, attempt))
+        if call.admission is not None:
+            call.admission.sent(call.request, entry, now)
+        attempt.timer = self.clock.call_at(deadline_us, lambda: self._timed_out(call, attempt))
         self.peers.set_up(peer, call.request, deadline_us)
 
     # ---- a call's and an attempt's end
@@ -352,7 +352,7 @@
 
     def _give_up(self, call: Call, outcome: io.Outcome, settled: bool) -> None:
         if call.attempt is not None:
-            self.peers.give_up(call.attempt.peer, call.request.call)
+            self.peers.cancel_set_up(call.attempt.peer, call.request.call)
             self._attempt_over(call, AttemptEnd(outcome), settled)
 
     def _attempt_over(self, call: Call, end: AttemptEnd, settled: bool) -> None:
@@ -379,7 +379,7 @@
 
     def _cut_or_ended(self, call: Call, end: AttemptEnd) -> None:
         """A call that stood is over by the peer's doing: release it towards its caller."""
-        call.caller.released(call.request.call, NORMAL if end.outcome is io.Outcome.OK else CUT)
+        call.caller.on_released(call.request.call, NORMAL if end.outcome is io.Outcome.OK else CUT)
         self._over(call, end)
 
     def _over(self, call: Call, end: AttemptEnd) -> None:
@@ -387,27 +387,27 @@
         self.counts["calls_ended" if ended else "calls_cut"] += 1
         self._note(call, "ended" if ended else "cut")
         self.calls.pop(call.request.call, None)
-        if call.ticket is not None:
-            call.ticket.over(call.request, self.now_us())
+        if call.admission is not None:
+            call.admission.over(call.request, self.now_us())
         self._attempt_over(call, end, settled=True)
 
     def _answer(self, call: Call, final: Final, wait_us: int = 0) -> None:
         """Give the one final answer, if it is not a call that stands."""
         self._finish(call, final)
         if final is Final.REFUSED:
-            call.caller.refused(call.request.call, wait_us)
+            call.caller.on_refused(call.request.call, wait_us)
         else:
-            call.caller.failed(call.request.call)
+            call.caller.on_failed(call.request.call)
 
     def _finish(self, call: Call, final: Final) -> None:
         self._stop(call)
         self.calls.pop(call.request.call, None)
         self.counts["final_" + final.value.replace(" ", "_")] += 1
         self._note(call, final.value)
-        if call.ticket is not None:
+        if call.admission is not None:
             now = self.now_us()
-            call.ticket.final(call.request, final, now)
-            call.ticket.over(call.request, now)
+            call.admission.final(call.request, final, now)
+            call.admission.over(call.request, now)
 
     def _stop(self, call: Call) -> None:
         """No time-out runs for a call that is answered."""
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -85,7 +85,7 @@
             self._partial = None
         if self.stream.partial:
             clock = self.link.clock
-            self._partial = clock.at(clock.now_us() + PARTIAL_US, self._cut_short)
+            self._partial = clock.call_at(clock.now_us() + PARTIAL_US, self._cut_short)
 
     def _cut_short(self) -> None:
         if not self.done:
@@ -127,9 +127,9 @@
 
         def silent() -> None:
             if self.tests.pop(call, None) is not None:
-                self.router.group_state(self.name, io.Load(), ok=False, delay_us=self.clock.now_us() - now)
+                self.router.on_group_state(self.name, io.Load(), ok=False, delay_us=self.clock.now_us() - now)
 
-        self.tests[call] = (now, self.clock.at(now + PROBE_US, silent))
+        self.tests[call] = (now, self.clock.call_at(now + PROBE_US, silent))
         if self.connection is not None:
             self._write(wire.test(call))
 
@@ -150,20 +150,20 @@
             case wire.Answered(call, description):
                 self.counts["peer_answers"] += 1
                 self.open.discard(call)
-                self.router.answered(self.name, call, description)
+                self.router.on_answered(self.name, call, description)
             case wire.Released(call, cause, note, report):
                 self.counts[f"peer_releases_cause_{cause}"] += 1
                 self.open.discard(call)
                 outcome = OUTCOMES.get(cause, io.Outcome.NUMBER_FAULT)
                 end = AttemptEnd(outcome, NOTES.get(note, io.Cause.NONE), load(report))
-                self.router.ended(self.name, call, end)
+                self.router.on_ended(self.name, call, end)
             case wire.GroupState(report):
                 self.counts["peer_group_states"] += 1
-                self.router.group_state(self.name, load(report))
+                self.router.on_group_state(self.name, load(report))
             case wire.Tested(call, passed, report):
                 if (test := self.tests.pop(call, None)) is not None:
                     test[1].cancel()
-                    self.router.group_state(self.name, load(report), passed, self.clock.now_us() - test[0])
+                    self.router.on_group_state(self.name, load(report), passed, self.clock.now_us() - test[0])
 
     def _write(self, data: bytes) -> None:
         if self.connection is not None:
@@ -185,7 +185,7 @@
         self.make, self.home, self.clock = make, home, clock
         self.links: dict[str, Link] = {}
         self._watch_us = clock.now_us() + WATCH_US
-        clock.at(self._watch_us, self._watch)
+        clock.call_at(self._watch_us, self._watch)
         self.addresses: dict[str, str] = {}
 
     def _watch(self) -> None:
@@ -198,7 +198,7 @@
             for link in list(self.links.values()):
                 link.watch()
         self._watch_us = now + WATCH_US
-        self.clock.at(self._watch_us, self._watch)
+        self.clock.call_at(self._watch_us, self._watch)
 
     def update(self, endpoints: list[Endpoint], complete: bool) -> None:
         """Follow the list. A peer at a new address is a new machine; one's name is kept on a restart."""
@@ -232,7 +232,7 @@
         """Send a set-up."""
         self.links[peer].set_up(request, deadline_us)
 
-    def give_up(self, peer: str, call: str) -> None:
+    def cancel_set_up(self, peer: str, call: str) -> None:
         """Give up a set-up that is out."""
         self.release(peer, call, NORMAL)
 
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -52,8 +52,8 @@
         self.most = min(most, CONNECTIONS_MOST)
         self.sessions: set[Session] = set()
         self.calls: dict[str, ApiCall] = {}
-        self.clock.at(self.clock.now_us() + SWEEP_US, self._sweep)
-        self.clock.at(self.clock.now_us() + WATCH_US, self._watch)
+        self.clock.call_at(self.clock.now_us() + SWEEP_US, self._sweep)
+        self.clock.call_at(self.clock.now_us() + WATCH_US, self._watch)
 
     def buildProtocol(self, addr: IAddress | None) -> Session | None:
         """Twisted's hook for a new connection; None refuses it."""
@@ -68,14 +68,14 @@
         old = now - KEPT_US
         for call in [n for n, c in self.calls.items() if c.ended_us is not None and c.ended_us <= old]:
             del self.calls[call]
-        self.clock.at(now + SWEEP_US, self._sweep)
+        self.clock.call_at(now + SWEEP_US, self._sweep)
 
     def _watch(self) -> None:
         """Give up sockets that have died without a word, or never say a whole one."""
         now = self.clock.now_us()
         for session in list(self.sessions):
             session.check(now)
-        self.clock.at(now + WATCH_US, self._watch)
+        self.clock.call_at(now + WATCH_US, self._watch)
 
     # ---- what clients ask
 
@@ -100,7 +100,7 @@
                 self._tell(request.id, api.Cancelled(request.id))
             else:  # it crossed the answer, or came twice: the call is as was told
                 session.tell(call.told)
-        elif self.router.hang_up(request.id, request.cause):
+        elif self.router.release_call(request.id, request.cause):
             self._tell(request.id, api.Released(request.id, request.cause))
         elif call.ended_us is not None:
             session.tell(call.told)
@@ -111,7 +111,7 @@
         service = self.classes.get(asked.service)
         if service is None:
             raise api.BadMessage("unknown-class", "no such class of call", asked.id)
-        if asked.dest < 0 and not self.router.gate.resolves:
+        if asked.dest < 0 and not self.router.gate.resolves_destination:
             raise api.BadMessage("bad-field", "field dest is needed: there is no plan to find it by", asked.id)
         if asked.id in self.router.calls:
             raise api.BadMessage("id-in-use", "another caller's call has this id", asked.id)
@@ -147,22 +147,22 @@
         if call.session is not None:
             call.session.tell(message)
 
-    def answered(self, call: str, description: bytes) -> None:
+    def on_answered(self, call: str, description: bytes) -> None:
         """The call stands."""
         self.counts["ws_answers_sent"] += 1
         self._tell(call, api.Answer(call, description.decode("utf-8", "replace")))
 
-    def refused(self, call: str, wait_us: int) -> None:
+    def on_refused(self, call: str, wait_us: int) -> None:
         """Turned away; the caller is told when to return."""
         self.counts["ws_refusals_sent"] += 1
         self._tell(call, api.Refused(call, -(-wait_us // 1000)))
 
-    def failed(self, call: str) -> None:
+    def on_failed(self, call: str) -> None:
         """The call has failed."""
         self.counts["ws_failures_sent"] += 1
         self._tell(call, api.Failed(call))
 
-    def released(self, call: str, cause: int) -> None:
+    def on_released(self, call: str, cause: int) -> None:
         """A call that stood is over."""
         self.counts["ws_releases_sent"] += 1
         self._tell(call, api.Released(call, cause))
--- a/benchmarks/narrowing.py
+++ b/benchmarks/narrowing.py
@@ -1,4 +1,4 @@
-"""How a plan's narrowing should reach the module: told with the call, or met by 'not sent' when it sends.
+"""How a plan's constraint should reach the module: told with the call, or met by 'not sent' when it sends.
 
 One router's core with stand-in ports in virtual time, twelve exchanges, calls to each of them, of which a part may go
 neither direct nor over any but two tandems. Both ways keep the plan; counted is what becomes of the calls, and what
@@ -17,7 +17,7 @@
 from dataclasses import replace
 from typing import Any
 
-from astertrack.core import Admission, AttemptEnd, Gate, Narrowing, Refusal, Request, Router
+from astertrack.core import Approval, AttemptEnd, Gate, Refusal, Request, RouteConstraint, Router
 from ospreylug import interface as io
 
 SECOND = 1_000_000
@@ -64,9 +64,9 @@
         """The clock's port."""
         return self.now
 
-    def at(self, when_us: int, do: Callable[[], None]) -> Any:
+    def call_at(self, when_us: int, callback: Callable[[], None]) -> Any:
         """The clock's port."""
-        cell: list[Callable[[], None] | None] = [do]
+        cell: list[Callable[[], None] | None] = [callback]
         heapq.heappush(self.timers, (when_us, next(self.order), cell))
 
         class Handle:
@@ -88,7 +88,7 @@
 
     def state(self, peer: str) -> None:
         """A peer tells its free circuits."""
-        self.router.group_state(peer, io.Load(free=CIRCUITS - self.taken[peer], size=CIRCUITS))
+        self.router.on_group_state(peer, io.Load(free=CIRCUITS - self.taken[peer], size=CIRCUITS))
 
     def set_up(self, peer: str, request: Request, deadline_us: int) -> None:
         """The peers' port."""
@@ -97,15 +97,15 @@
 
         def ends() -> None:
             self.taken[peer] -= 1
-            self.router.ended(peer, call, AttemptEnd(io.Outcome.OK))
+            self.router.on_ended(peer, call, AttemptEnd(io.Outcome.OK))
             self.state(peer)
 
         def answers() -> None:
-            self.router.answered(peer, call, b"")
-            self.at(self.now + int(self.source.expovariate(1 / HOLD_US)), ends)
-        self.at(self.now + DELAY_US, answers)
+            self.router.on_answered(peer, call, b"")
+            self.call_at(self.now + int(self.source.expovariate(1 / HOLD_US)), ends)
+        self.call_at(self.now + DELAY_US, answers)
 
-    def give_up(self, peer: str, call: str) -> None:
+    def cancel_set_up(self, peer: str, call: str) -> None:
         """The peers' port."""
 
     def release(self, peer: str, call: str, cause: int) -> None:
@@ -114,37 +114,38 @@
     def probe(self, peer: str) -> None:
         """The peers' port."""
 
-    def answered(self, call: str, description: bytes) -> None:
+    def on_answered(self, call: str, description: bytes) -> None:
         """The caller's port."""
         self.finals["stood"] += 1
 
-    def refused(self, call: str, wait_us: int) -> None:
+    def on_refused(self, call: str, wait_us: int) -> None:
         """The caller's port."""
         self.finals["refused"] += 1
 
-    def failed(self, call: str) -> None:
+    def on_failed(self, call: str) -> None:
         """The caller's port."""
         self.finals["failed"] += 1
 
-    def released(self, call: str, cause: int) -> None:
+    def on_released(self, call: str, cause: int) -> None:
         """The caller's port."""
 
 
 class Plan:
     """Half of the numbers may go over two tandems only, which depend on the destination."""
 
-    name, shut_on_fault = "plan", False
+    name, fail_closed = "plan", False
 
-    def admit(self, request: Request, now_us: int) -> Admission | Refusal | None:
+    def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
         """Narrow a call."""
         if int(request.number) % 100 >= NARROWED * 100:
-            return Admission()
+            return Approval()
         first = 1 + request.dest % (EXCHANGES - 1)
         second = 1 + (request.dest + 3) % (EXCHANGES - 1)
-        return Admission(narrowing=Narrowing((frozenset({first}), frozenset({second})), frozenset({request.dest})))
+        return Approval(constraint=RouteConstraint((frozenset({first}), frozenset({second})),
+                                                   frozenset({request.dest})))
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
-        """The narrowing says it."""
+        """The constraint says it."""
         return True
 
     def sent(self, token: object, request: Request, entry: io.Entry, now_us: int) -> None:
