--- a/astertrack/app.py
+++ b/astertrack/app.py
@@ -21,7 +21,7 @@
 from astertrack.parts import load_parts
 from astertrack.parts.model import Given
 from astertrack.store import make_store
-from astertrack.wire.common import Unreadable
+from astertrack.wire.common import MalformedError
 from ospreylug import interface as io
 
 log = structlog.get_logger()
@@ -81,7 +81,7 @@
         for raw in config.known:
             try:
                 _, complete, changed = read_event(raw, config.zones, config.kinds)
-            except Unreadable as wrong:
+            except MalformedError as wrong:
                 log.warning("known event that cannot be read", error=str(wrong))
                 continue
             if complete:
--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -13,7 +13,7 @@
 from astertrack.net.links import Link
 from astertrack.wire import callapi as api
 from astertrack.wire import websocket as ws
-from astertrack.wire.common import LIMIT, Malformed
+from astertrack.wire.common import MAX_MESSAGE_BYTES, Malformed
 from ospreylug import interface as io
 
 log = structlog.get_logger()
@@ -100,7 +100,7 @@
         return ApiConnection(self)
 
     def _tell(self, message: api.Message) -> None:
-        if isinstance(message, api.SetUp) and len(api.write(message).encode()) > LIMIT:
+        if isinstance(message, api.SetUp) and len(api.write(message).encode()) > MAX_MESSAGE_BYTES:
             raise ValueError("message too long")
         if isinstance(self.connection, ApiConnection):
             self.connection.tell(message)
--- a/astertrack/net/bulletin.py
+++ b/astertrack/net/bulletin.py
@@ -17,7 +17,7 @@
 from astertrack.net.clock import ReactorClock
 from astertrack.net.peers import Endpoint
 from astertrack.wire import sse
-from astertrack.wire.common import Malformed, Unreadable
+from astertrack.wire.common import Malformed, MalformedError
 from ospreylug import interface as io
 
 log = structlog.get_logger()
@@ -47,7 +47,7 @@
                 started_us=int(item.get("since_ms") or 0) * 1000 or None)))
         return int(raw["no"]), bool(roster.get("snapshot")), endpoints
     except (KeyError, TypeError, ValueError, AttributeError) as wrong:
-        raise Unreadable(f"bulletin event: {wrong!r}") from None
+        raise MalformedError(f"bulletin event: {wrong!r}") from None
 
 
 class Reading(Conversation):
@@ -170,7 +170,7 @@
         """Tell of an event, once."""
         try:
             number, complete, endpoints = read_event(json.loads(event.data), self.zones, self.kinds)
-        except (Unreadable, json.JSONDecodeError, RecursionError) as wrong:
+        except (MalformedError, json.JSONDecodeError, RecursionError) as wrong:
             self.counts["bulletin_malformed"] += 1
             log.warning("bulletin event that cannot be read", error=str(wrong))
             # Spoilt on its way, it comes again whole: asked for once, for it may have been written so.
--- a/astertrack/net/callers.py
+++ b/astertrack/net/callers.py
@@ -17,7 +17,7 @@
 from astertrack.core.model import Clock
 from astertrack.net.base import Conversation, Throttle
 from astertrack.wire import sip
-from astertrack.wire.common import Malformed, Unreadable, figures
+from astertrack.wire.common import Malformed, MalformedError, parse_figures
 
 log = structlog.get_logger()
 REFUSED, FAILED, TERMINATED, BAD = 503, 500, 487, 400
@@ -258,8 +258,8 @@
     def _read(self, event: sip.SetUp, service: int) -> Request | None:
         """Make a request of it; None where a figure is out of range: such a call must never stand."""
         try:
-            attrs = figures(event.attrs, strict=True)
-        except Unreadable:
+            attrs = parse_figures(event.attrs, strict=True)
+        except MalformedError:
             return None
         dest, width, via = attrs.get("dest", -1.0), attrs.get("width", 1.0), attrs.get("via", -1.0)
         now, longest = self.router.now_us(), self.router.settings.classes[service].deadline_us
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -16,7 +16,7 @@
 from astertrack.net.base import Conversation
 from astertrack.net.links import WATCH_US, Link
 from astertrack.wire import peer as wire
-from astertrack.wire.common import Malformed, Unreadable, figures
+from astertrack.wire.common import Malformed, MalformedError, parse_figures
 from ospreylug import interface as io
 from ospreylug.wirehost import read_load
 
@@ -37,7 +37,7 @@
 @lru_cache(maxsize=2048)
 def load(report: str) -> io.Load:
     """Translate a report, whichever of the two names its figures bear."""
-    return read_load({FIELDS.get(name, name): value for name, value in figures(report).items()})
+    return read_load({FIELDS.get(name, name): value for name, value in parse_figures(report).items()})
 
 
 class PeerConnection(Conversation):
@@ -59,9 +59,9 @@
         for message in self.stream.receive(data) if not self.done else ():
             try:
                 if isinstance(message, Malformed):
-                    raise Unreadable(message.reason)
+                    raise MalformedError(message.reason)
                 event = wire.read_event(message)
-            except Unreadable as wrong:
+            except MalformedError as wrong:
                 self.link.counts["peer_malformed"] += 1
                 log.warning("peer sent what cannot be read", peer=self.link.name, reason=str(wrong))
                 self.link.drop(self)
--- a/astertrack/wire/callapi.py
+++ b/astertrack/wire/callapi.py
@@ -11,7 +11,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from astertrack.wire.common import LIMIT
+from astertrack.wire.common import MAX_MESSAGE_BYTES
 from astertrack.wire.sip import CALL_ID
 
 
@@ -136,7 +136,7 @@
 NAMES = {kind: name for name, kind in (REQUESTS | REPLIES).items()}
 RENAMED = {"class": "service"}  # the API's word is Python's
 TOLD = {"service": "class"}
-TEXT_MOST = {"number": 128, "service": 64, "code": 64, "reason": 512, "description": LIMIT}
+TEXT_MOST = {"number": 128, "service": 64, "code": 64, "reason": 512, "description": MAX_MESSAGE_BYTES}
 WHOLE = {"dest": (-1, 2**31), "deadline": (0, 2**53), "via": (-1, 2**31), "cooldown": (0, 2**31),
          "cause": (1, 127)}
 NUMBERS = {"width": (1e-6, 64.0), "free": (0.0, 1e9), "size": (0.0, 1e9), "hold_back": (0.0, 1.0)}
--- a/astertrack/wire/http.py
+++ b/astertrack/wire/http.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from astertrack.wire.common import Malformed, Unreadable, cut_head, whole
+from astertrack.wire.common import Malformed, MalformedError, parse_integer, take_http_head
 
 BODY_MOST = 512 * 1024  # octets of a body: a batch of reports has under 128 KiB
 
@@ -48,7 +48,7 @@
         try:
             if self._head is None and not self._read_head():
                 return None
-        except Unreadable as wrong:
+        except MalformedError as wrong:
             return self._end(Malformed(str(wrong)))
         if len(self._buffer) < self._length or self._head is None:
             return None
@@ -60,7 +60,7 @@
         return result
 
     def _read_head(self) -> bool:
-        head = cut_head(self._buffer)
+        head = take_http_head(self._buffer)
         if head is None:
             return False
         first, *lines = head
@@ -68,21 +68,21 @@
         for line in lines:
             name, colon, value = line.partition(":")
             if not colon or not name or name != name.strip():
-                raise Unreadable("a header without a name")
+                raise MalformedError("a header without a name")
             if headers.setdefault(name.lower(), value.strip()) != value.strip() and name.lower() == "content-length":
-                raise Unreadable("two Content-Lengths that differ")
+                raise MalformedError("two Content-Lengths that differ")
         if "transfer-encoding" in headers:
-            raise Unreadable("a body without a length")
-        self._length = whole(headers.get("content-length", "0"), "Content-Length", 0, self.body_most)
+            raise MalformedError("a body without a length")
+        self._length = parse_integer(headers.get("content-length", "0"), "Content-Length", 0, self.body_most)
         words = first.split(" ", 2)
         if self.kind is Kind.REQUEST:
             if len(words) != 3 or not words[0].isalpha() or not words[1].startswith("/") or words[2] != "HTTP/1.1":
-                raise Unreadable("not a request")
+                raise MalformedError("not a request")
             self._head = Message(words[0], words[1], 0, headers)
         else:
             if len(words) < 2 or not words[0].startswith("HTTP/1."):
-                raise Unreadable("not a status line")
-            self._head = Message("", "", whole(words[1], "status", 100, 599), headers)
+                raise MalformedError("not a status line")
+            self._head = Message("", "", parse_integer(words[1], "status", 100, 599), headers)
         return True
 
 
--- a/astertrack/wire/peer.py
+++ b/astertrack/wire/peer.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from astertrack.wire.common import LIMIT, ROOM, Malformed, Unreadable, text
+from astertrack.wire.common import DESCRIPTION_HEADROOM_BYTES, MAX_MESSAGE_BYTES, Malformed, MalformedError, decode_utf8
 
 
 class Type(IntEnum):
@@ -52,7 +52,7 @@
     body = bytearray((message.type,)) + bytes.fromhex(message.call)
     for code, value in message.parameters.items():
         body += struct.pack(">BH", code, len(value)) + value
-    if len(body) + 2 > LIMIT:
+    if len(body) + 2 > MAX_MESSAGE_BYTES:
         raise ValueError("message too long")
     return struct.pack(">H", len(body)) + bytes(body)
 
@@ -79,15 +79,15 @@
         try:
             while len(self._buffer) - at >= 2:
                 length = int.from_bytes(self._buffer[at:at + 2])
-                if length + 2 > LIMIT:
-                    raise Unreadable("message too long")
+                if length + 2 > MAX_MESSAGE_BYTES:
+                    raise MalformedError("message too long")
                 if length < 9:
-                    raise Unreadable("message too short")
+                    raise MalformedError("message too short")
                 if len(self._buffer) - at < 2 + length:
                     break
                 events.append(self._message(bytes(self._buffer[at + 2:at + 2 + length])))
                 at += 2 + length
-        except Unreadable as wrong:
+        except MalformedError as wrong:
             self.broken = True
             self._buffer.clear()
             events.append(Malformed(str(wrong)))
@@ -100,13 +100,13 @@
         at = 9
         while at < len(body):
             if at + 3 > len(body):
-                raise Unreadable("a parameter that is cut off")
+                raise MalformedError("a parameter that is cut off")
             code, length = struct.unpack_from(">BH", body, at)
             at += 3
             if at + length > len(body):
-                raise Unreadable("a parameter longer than its message")
+                raise MalformedError("a parameter longer than its message")
             if code in parameters:
-                raise Unreadable("a parameter that comes twice")
+                raise MalformedError("a parameter that comes twice")
             parameters[code] = body[at:at + length]
             at += length
         return Message(body[0], body[1:9].hex(), parameters)
@@ -152,19 +152,19 @@
 def read_event(message: Message) -> Event | None:
     """Say what a peer's message means; None where it means nothing to a call router."""
     parameters = message.parameters
-    report = text(parameters.get(Code.REPORT, b""))
+    report = decode_utf8(parameters.get(Code.REPORT, b""))
     cause = parameters.get(Code.CAUSE)
     if message.type not in Type.__members__.values():
-        raise Unreadable("an unknown type of message")
+        raise MalformedError("an unknown type of message")
     if message.type == Type.ANSWER:
         description = parameters.get(Code.DESCRIPTION)
-        if description is None or len(description) > LIMIT - ROOM:
-            raise Unreadable("an answer without a description that can be passed on")
+        if description is None or len(description) > MAX_MESSAGE_BYTES - DESCRIPTION_HEADROOM_BYTES:
+            raise MalformedError("an answer without a description that can be passed on")
         return Answered(message.call, description)
     if message.type in (Type.RELEASE, Type.TEST_RESULT) and (cause is None or len(cause) != 1):
-        raise Unreadable("a release or test result without a cause of one byte")
+        raise MalformedError("a release or test result without a cause of one byte")
     if message.type == Type.RELEASE and cause:
-        return Released(message.call, cause[0], text(parameters.get(Code.NOTE, b"")), report)
+        return Released(message.call, cause[0], decode_utf8(parameters.get(Code.NOTE, b"")), report)
     if message.type == Type.TEST_RESULT and cause:
         return Tested(message.call, cause[0] == 1, report)
     if message.type == Type.GROUP_STATE:
--- a/astertrack/wire/sip.py
+++ b/astertrack/wire/sip.py
@@ -9,7 +9,14 @@
 import re
 from dataclasses import dataclass, field
 
-from astertrack.wire.common import LIMIT, ROOM, Malformed, Unreadable, text, whole
+from astertrack.wire.common import (
+    DESCRIPTION_HEADROOM_BYTES,
+    MAX_MESSAGE_BYTES,
+    Malformed,
+    MalformedError,
+    decode_utf8,
+    parse_integer,
+)
 
 CALL_ID = re.compile(r"[0-9a-f]{16}", re.ASCII)
 REASONS = {100: "Trying", 200: "OK", 400: "Bad Request", 480: "Temporarily Unavailable",
@@ -54,7 +61,7 @@
         try:
             while (message := self._next()) is not None:
                 events.append(message)
-        except Unreadable as wrong:
+        except MalformedError as wrong:
             self.broken = True
             self._buffer.clear()
             events.append(Malformed(str(wrong)))
@@ -66,15 +73,15 @@
         end = self._buffer.find(b"\r\n\r\n", max(0, self._scanned - 3))
         if end < 0:
             self._scanned = len(self._buffer)
-            if self._scanned > LIMIT:
-                raise Unreadable("head too long")
+            if self._scanned > MAX_MESSAGE_BYTES:
+                raise MalformedError("head too long")
             return None
-        if end + 4 > LIMIT:
-            raise Unreadable("head too long")
-        first, headers = self._head(text(self._buffer[:end]))
-        length = whole(headers.get("content-length", "missing"), "Content-Length", 0, LIMIT)
-        if end + 4 + length > LIMIT:
-            raise Unreadable("message too long")
+        if end + 4 > MAX_MESSAGE_BYTES:
+            raise MalformedError("head too long")
+        first, headers = self._head(decode_utf8(self._buffer[:end]))
+        length = parse_integer(headers.get("content-length", "missing"), "Content-Length", 0, MAX_MESSAGE_BYTES)
+        if end + 4 + length > MAX_MESSAGE_BYTES:
+            raise MalformedError("message too long")
         if len(self._buffer) < end + 4 + length:
             self._scanned = end + 3
             return None
@@ -87,30 +94,30 @@
     def _head(head: str) -> tuple[str, dict[str, str]]:
         first, *lines = head.split("\r\n")
         if CONTROL.search(head.replace("\r\n", "")):
-            raise Unreadable("control characters in a head")
+            raise MalformedError("control characters in a head")
         headers: dict[str, str] = {}
         last = ""
         for line in lines:
             if line[:1] in (" ", "\t"):  # a folded line goes on with the one before
                 if not last:
-                    raise Unreadable("a folded line with nothing before it")
+                    raise MalformedError("a folded line with nothing before it")
                 headers[last] += " " + line.strip()
                 continue
             name, colon, value = line.partition(":")
             last, value = name.rstrip().lower(), value.strip()
             if not colon or not last:
-                raise Unreadable("a header without a name")
+                raise MalformedError("a header without a name")
             if headers.setdefault(last, value) != value and last == "content-length":
-                raise Unreadable("two Content-Lengths that differ")
+                raise MalformedError("two Content-Lengths that differ")
         return first, headers
 
     @staticmethod
     def _message(first: str, headers: dict[str, str], body: bytes) -> Message:
         words = first.split(" ", 2)
         if words[0] == "SIP/2.0" and len(words) >= 2:
-            return Message("", "", whole(words[1], "status", 100, 699), headers, body)
+            return Message("", "", parse_integer(words[1], "status", 100, 699), headers, body)
         if len(words) != 3 or words[2] != "SIP/2.0" or not words[0].isalpha() or not words[1]:
-            raise Unreadable("neither a request nor a status line")
+            raise MalformedError("neither a request nor a status line")
         return Message(words[0], words[1], 0, headers, body)
 
 
@@ -204,7 +211,7 @@
             self.messages += 1
             try:
                 event = self._event(message)
-            except Unreadable as wrong:
+            except MalformedError as wrong:
                 self._stream.broken = True
                 if message.headers.get("call-id", "") not in self.open:  # else its own answer is still owed
                     self._respond(message.headers, 400)
@@ -226,7 +233,7 @@
             return None
         call = message.headers.get("call-id", "")
         if not CALL_ID.fullmatch(call):
-            raise Unreadable("Call-ID: not 16 hex digits")
+            raise MalformedError("Call-ID: not 16 hex digits")
         if message.method == "INVITE":
             return self._invite(call, message)
         if message.method == "CANCEL":
@@ -244,14 +251,14 @@
     def _invite(self, call: str, message: Message) -> Event | None:
         scheme, _, address = message.uri.partition(":")
         if scheme != "sip":
-            raise Unreadable("not a sip: address")
-        wait = whole(message.headers.get("x-deadline", "missing"), "X-Deadline", 0, 10**9)
+            raise MalformedError("not a sip: address")
+        wait = parse_integer(message.headers.get("x-deadline", "missing"), "X-Deadline", 0, 10**9)
         if (offer := self.open.get(call)) is not None:
             if offer.uri != message.uri or offer.body != message.body:
-                raise Unreadable("the id of an open set-up with another description")
+                raise MalformedError("the id of an open set-up with another description")
             return None  # the same set-up again on the same connection: its answer is still to come
-        if len(message.body) + len(address) > LIMIT - ROOM:
-            raise Unreadable("a set-up too long to be passed on")
+        if len(message.body) + len(address) > MAX_MESSAGE_BYTES - DESCRIPTION_HEADROOM_BYTES:
+            raise MalformedError("a set-up too long to be passed on")
         self.open[call] = Offer({name: message.headers[name] for name in ECHOED if name in message.headers},
                                 message.uri, message.body)
         return SetUp(call, address.partition("@")[0], message.headers.get("x-tier", ""), wait,
--- a/astertrack/wire/sse.py
+++ b/astertrack/wire/sse.py
@@ -5,9 +5,16 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from astertrack.wire.common import LIMIT, Malformed, Unreadable, cut_head, text, whole
+from astertrack.wire.common import (
+    MAX_MESSAGE_BYTES,
+    Malformed,
+    MalformedError,
+    decode_utf8,
+    parse_integer,
+    take_http_head,
+)
 
-LIST_LIMIT = 64 * LIMIT  # octets of one event: the first holds the whole list
+LIST_LIMIT = 64 * MAX_MESSAGE_BYTES  # octets of one event: the first holds the whole list
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,19 +69,19 @@
                 self._body += self._buffer
                 self._buffer.clear()
             self._read(events)
-        except Unreadable as wrong:
+        except MalformedError as wrong:
             self.ended = True
             events.append(Malformed(str(wrong)))
         return events
 
     def _head(self) -> bool:
-        head = cut_head(self._buffer)
+        head = take_http_head(self._buffer)
         if head is None:
             return False
         first, *lines = head
         words = first.split(" ")
         if not words[0].startswith("HTTP/1.") or words[1:2] != ["200"]:
-            raise Unreadable("no 200 in answer")
+            raise MalformedError("no 200 in answer")
         for line in lines:
             name, _, value = line.partition(":")
             if name.strip().lower() == "transfer-encoding":
@@ -88,11 +95,11 @@
                 end = self._buffer.find(b"\r\n")
                 if end < 0:
                     if len(self._buffer) > 64:
-                        raise Unreadable("no length of a chunk")
+                        raise MalformedError("no length of a chunk")
                     return
                 size = bytes(self._buffer[:end]).split(b";")[0].strip()
                 if not 0 < len(size) <= 6 or size.strip(b"0123456789abcdefABCDEF"):
-                    raise Unreadable("the length of a chunk is no number")
+                    raise MalformedError("the length of a chunk is no number")
                 self._left = int(size, 16) + 2  # with the end of line behind it
                 del self._buffer[:end + 2]
                 if self._left == 2:
@@ -109,9 +116,9 @@
         *lines, rest = bytes(self._body).replace(b"\r\n", b"\n").split(b"\n")
         self._body = bytearray(rest)
         if len(rest) > self._limit:
-            raise Unreadable("event too long")
+            raise MalformedError("event too long")
         for raw in lines:
-            line = text(raw)
+            line = decode_utf8(raw)
             if not line:
                 if self._data:
                     events.append(ServerSentEvent(self._id, "\n".join(self._data), self._name))
@@ -121,7 +128,7 @@
             value = value.removeprefix(" ")
             if name == "id":
                 if not self._any_id:
-                    whole(value, "id")
+                    parse_integer(value, "id")
                 self._id = value
             elif name == "event":
                 self._name = value
@@ -129,4 +136,4 @@
                 self._data.append(value)
                 self._size += len(value)
                 if self._size > self._limit:
-                    raise Unreadable("event too long")
+                    raise MalformedError("event too long")
--- a/astertrack/wire/websocket.py
+++ b/astertrack/wire/websocket.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 
-from astertrack.wire.common import LIMIT, Malformed, Unreadable, text
+from astertrack.wire.common import MAX_MESSAGE_BYTES, Malformed, MalformedError, decode_utf8
 
 MAGIC = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"  # RFC 6455, section 1.3
 CONTROL_MOST = 125  # octets of a control frame's payload
@@ -161,13 +161,13 @@
 
     def _shake(self, events: list[Event]) -> bool:
         end = self._buffer.find(b"\r\n\r\n")
-        if end > LIMIT or (end < 0 and len(self._buffer) > LIMIT):
+        if end > MAX_MESSAGE_BYTES or (end < 0 and len(self._buffer) > MAX_MESSAGE_BYTES):
             self._reject(431, "Request Header Fields Too Large", "head too long")
         if end < 0:
             return False
         try:
-            first, *lines = text(self._buffer[:end]).split("\r\n")
-        except Unreadable as wrong:
+            first, *lines = decode_utf8(self._buffer[:end]).split("\r\n")
+        except MalformedError as wrong:
             self._reject(400, "Bad Request", str(wrong))
         headers: dict[str, str] = {}
         for line in lines:
@@ -241,7 +241,7 @@
             short, length = length == 126, int.from_bytes(buffer[2:at])
             if length < (126 if short else 1 << 16):
                 raise _Violation(CloseCode.PROTOCOL_ERROR, "length not in its shortest form")
-        if length + len(self._parts or b"") > LIMIT:
+        if length + len(self._parts or b"") > MAX_MESSAGE_BYTES:
             raise _Violation(CloseCode.TOO_BIG, "message too long")
         whole = at + 4 * masked + length
         if len(buffer) < whole:
@@ -288,8 +288,8 @@
     @staticmethod
     def _decode(data: bytes | bytearray) -> str:
         try:
-            return text(data)
-        except Unreadable as wrong:
+            return decode_utf8(data)
+        except MalformedError as wrong:
             raise _Violation(CloseCode.INVALID_DATA, str(wrong)) from None
 
     # ---- sending
--- a/tests/test_websocket_codec.py
+++ b/tests/test_websocket_codec.py
@@ -10,7 +10,7 @@
 from wsproto import ConnectionType, WSConnection
 from wsproto import events as theirs
 
-from astertrack.wire.common import LIMIT, Malformed
+from astertrack.wire.common import MAX_MESSAGE_BYTES, Malformed
 from astertrack.wire.websocket import Closed, Opened, Role, State, Text, WebSocket, accept_token
 
 TEXTS = st.text(max_size=400)
@@ -90,7 +90,8 @@
     (frame(0x89, b"x" * 126), 1002), (frame(0x82, b"binary"), 1003), (frame(0x81, b"\xff"), 1007),
     (frame(0x88, b"\x03"), 1002), (frame(0x88, (1005).to_bytes(2)), 1002),
     (frame(0x88, b"\x03\xe8\xff"), 1007),
-    (frame(0x81, b"x" * (LIMIT + 1)), 1009), (frame(0x01, b"x" * LIMIT) + frame(0x80, b"x"), 1009),
+    (frame(0x81, b"x" * (MAX_MESSAGE_BYTES + 1)), 1009),
+    (frame(0x01, b"x" * MAX_MESSAGE_BYTES) + frame(0x80, b"x"), 1009),
     (b"\x81\xfe\x00\x05", 1002), (b"\x81\xff" + b"\xff" * 8, 1009),
 ])
 def test_what_breaks_the_protocol_is_answered_with_its_code(raw: bytes, code: int) -> None:
@@ -112,7 +113,7 @@
 @pytest.mark.parametrize(("change", "status"), [
     ((b"GET /calls", b"GET /other"), b"404"), ((b"GET", b"POST"), b"400"), ((b": 13", b": 8"), b"426"),
     ((b"dGhlIHNhbXBsZSBub25jZQ==", b"short"), b"400"), ((b"Upgrade: websocket", b"Upgrade: h2c"), b"400"),
-    ((b"Host: x", b"Host: " + b"x" * LIMIT), b"431"),
+    ((b"Host: x", b"Host: " + b"x" * MAX_MESSAGE_BYTES), b"431"),
 ])
 def test_a_handshake_that_will_not_do_is_told_why(change: tuple[bytes, bytes], status: bytes) -> None:
     ours = server()
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -9,7 +9,7 @@
 
 from astertrack.net.peers import load
 from astertrack.wire import peer, sip, sse
-from astertrack.wire.common import LIMIT, Malformed, Unreadable, figures, whole
+from astertrack.wire.common import MAX_MESSAGE_BYTES, Malformed, MalformedError, parse_figures, parse_integer
 from ospreylug import interface as io
 
 BODIES = st.binary(max_size=200)
@@ -57,7 +57,7 @@
     b"GET / HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
     b"INVITE tel:1 SIP/2.0\r\nCall-ID: 00000000000000aa\r\nX-Deadline: 1\r\nContent-Length: 0\r\n\r\n",
     b"BYE sip:\xff@net SIP/2.0\r\nContent-Length: 0\r\n\r\n",
-    b"x" * (LIMIT + 1),
+    b"x" * (MAX_MESSAGE_BYTES + 1),
 ])
 def test_malformed_sip_is_said_once_and_ends_the_connection(raw: bytes) -> None:
     server = sip.Server()
@@ -100,13 +100,13 @@
 
 def test_a_release_needs_a_cause_of_one_byte() -> None:
     for parameters in ({}, {29: b""}, {29: b"16"}):
-        with pytest.raises(Unreadable):
+        with pytest.raises(MalformedError):
             peer.read_event(peer.Message(peer.Type.RELEASE, "0" * 16, parameters))
 
 
 def test_reports_are_read_under_either_name_and_nonsense_is_left_out() -> None:
     assert load("x0:3;x1:9;eps:0.25") == load("free:3;size:9;hold_back:0.25") == io.Load(3, 9, hold_back=0.25)
-    assert figures("x0:nan;x1:inf;;:;queue:7") == {"queue": 7}
+    assert parse_figures("x0:nan;x1:inf;;:;queue:7") == {"queue": 7}
     assert load("x0:-1;x1:40").free is None
 
 
@@ -125,13 +125,13 @@
 
 @pytest.mark.parametrize("raw", [b"HTTP/1.1 503 Busy\r\n\r\n", b"HTTP/1.1 200 OK\r\n\r\nid: x\n\n",
                                  b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-                                 b"y" * (LIMIT + 1)])
+                                 b"y" * (MAX_MESSAGE_BYTES + 1)])
 def test_a_bulletin_that_cannot_be_read_is_said_once(raw: bytes) -> None:
     assert [type(event) for event in feed(sse.Client().receive, raw)] == [Malformed]
 
 
 def test_whole_numbers_are_plain_digits() -> None:
-    assert whole("12", "n") == 12
+    assert parse_integer("12", "n") == 12
     for raw in ("", "-", "--1", " 1", "1_0", "٣", "1" * 17, "-1"):
-        with pytest.raises(Unreadable):
-            whole(raw, "n")
+        with pytest.raises(MalformedError):
+            parse_integer(raw, "n")
