--- a/astertrack/core/gate.py
+++ b/astertrack/core/gate.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from astertrack.core.model import Final, Log, Request
+from astertrack.core.model import FinalResult, LogFunction, Request
 from ospreylug import interface as io
 
 FAULT_WAIT_US = 1_000_000  # when to return after a refusal by a policy that failed and has to stay shut
@@ -85,7 +85,7 @@
     def sent(self, token: object, request: Request, entry: io.Entry, now_us: int) -> None:
         """Hear that a set-up of the call has left."""
 
-    def final(self, token: object, request: Request, final: Final, now_us: int) -> None:
+    def final(self, token: object, request: Request, final: FinalResult, now_us: int) -> None:
         """Hear of the call's one final answer, or that its caller gave up."""
 
     def over(self, token: object, request: Request, now_us: int) -> None:
@@ -120,7 +120,7 @@
         for policy, token in self._held:
             self._gate.tell(policy, "sent", token, request, entry, now_us)
 
-    def final(self, request: Request, final: Final, now_us: int) -> None:
+    def final(self, request: Request, final: FinalResult, now_us: int) -> None:
         """Tell the policies of the final answer."""
         for policy, token in reversed(self._held):
             self._gate.tell(policy, "final", token, request, final, now_us)
@@ -135,7 +135,7 @@
 class Gate:
     """The list of policies. A fault in one costs its own say, never the call its answer."""
 
-    def __init__(self, policies: Sequence[Policy], log: Log, counts: Counter[str],
+    def __init__(self, policies: Sequence[Policy], log: LogFunction, counts: Counter[str],
                  resolves_destination: bool = False) -> None:
         self.policies, self.log, self.counts = tuple(policies), log, counts
         self.resolves_destination = resolves_destination  # True: calls may come without one, as a policy supplies it
@@ -154,7 +154,7 @@
                 verdict = Refusal("fault", FAULT_WAIT_US) if policy.fail_closed else None
             if isinstance(verdict, Refusal):
                 self.counts[f"gate_refused_{policy.name}_{verdict.cause}".replace("-", "_")] += 1
-                admission.final(request, Final.REFUSED, now_us)
+                admission.final(request, FinalResult.REFUSED, now_us)
                 admission.over(request, now_us)
                 return verdict
             if verdict is not None:
--- a/astertrack/core/model.py
+++ b/astertrack/core/model.py
@@ -9,8 +9,8 @@
 
 from ospreylug import interface as io
 
-NORMAL = 16  # Q.850: normal clearing
-CUT = 41  # Q.850: temporary failure; here: the call or its set-up was cut
+NORMAL_CLEARING = 16  # Q.850: normal clearing
+TEMPORARY_FAILURE = 41  # Q.850: temporary failure; here: the call or its set-up was cut
 
 
 @dataclass(slots=True)
@@ -41,22 +41,22 @@
     load: io.Load = field(default_factory=io.Load)
 
 
-class Final(Enum):
+class FinalResult(Enum):
     """The one final answer of a call."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
     FAILED = "failed"
-    GIVEN_UP = "given up"  # by the caller: no answer is owed
+    CANCELLED = "given up"  # by the caller: no answer is owed
 
 
 @dataclass(slots=True)
-class Record:
+class CallRecord:
     """A line for the store of record: a call's final answer, or the end of one that stood."""
 
     call: str
     at_us: int
-    event: str  # a Final's value, or "ended" or "cut"
+    event: str  # a FinalResult's value, or "ended" or "cut"
     service: str
     number: str
     dest: int
@@ -116,7 +116,7 @@
         """Call the callback at an instant, never before it."""
 
 
-class Log(Protocol):
+class LogFunction(Protocol):
     """The one use that the core makes of a log."""
 
     def __call__(self, event: str, **values: object) -> object:
--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -13,15 +13,15 @@
 
 from astertrack.core.gate import Admission, Gate, Refusal
 from astertrack.core.model import (
-    CUT,
-    NORMAL,
+    NORMAL_CLEARING,
+    TEMPORARY_FAILURE,
     AttemptEnd,
     Caller,
+    CallRecord,
     Clock,
-    Final,
-    Log,
+    FinalResult,
+    LogFunction,
     Peers,
-    Record,
     Request,
     Timer,
 )
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A call in hand: unanswered, or standing."""
+    """A call in hand: unanswered, or established."""
 
     request: Request
     caller: Caller
@@ -61,21 +61,21 @@
     attempt: Attempt | None = None
     attempts: int = 0
     not_before_us: int = 0
-    standing: bool = False
+    is_established: bool = False
 
 
 class Router:
     """One exchange's calls. Events come in by its methods; answers and set-ups leave by its ports."""
 
-    def __init__(self, settings: io.Settings, seed: int, clock: Clock, peers: Peers, log: Log,
-                 record: Callable[[Record], None],
+    def __init__(self, settings: io.Settings, seed: int, clock: Clock, peers: Peers, log: LogFunction,
+                 record: Callable[[CallRecord], None],
                  orphaned: Callable[[str, int], None] = lambda call, cause: None,
                  gate: Gate | None = None, counts: Counter[str] | None = None) -> None:
         self.settings, self.clock, self.peers, self.log, self.record = settings, clock, peers, log, record
         self.orphaned = orphaned  # releases, towards its caller, a call of the process before this one
         self.controller = Controller(settings, seed)
         self.calls: dict[str, Call] = {}
-        self.at_peer: dict[str, dict[str, Call]] = {}  # calls with an attempt out or standing, by peer
+        self.calls_by_peer: dict[str, dict[str, Call]] = {}  # calls with a pending or established attempt, by peer
         self.roster: dict[str, io.Entry] = {}
         self.free: dict[str, float] = {}  # circuits free in the group to a peer, as last told
         self.round_trip_us: dict[str, int] = {}  # shortest time in which a peer ended an attempt
@@ -101,13 +101,13 @@
         self.counts["calls_in_transit" if request.transit else "calls_fresh"] += 1
         if call.answer_by_us <= now:
             self.counts["offers_too_late"] += 1
-            self._answer(call, Final.REFUSED, RETURN_US)
+            self._answer(call, FinalResult.REFUSED, RETURN_US)
             return True
         passed = self.gate.admit(request, now)
         if isinstance(passed, Refusal):
             self.counts["refused_at_gate"] += 1
             call.label = passed.label
-            self._answer(call, Final.REFUSED, passed.wait_us)
+            self._answer(call, FinalResult.REFUSED, passed.wait_us)
             return True
         call.admission, call.label = passed, passed.label
         call.guard = self.clock.call_at(call.answer_by_us, lambda: self._overdue(call))
@@ -120,12 +120,12 @@
     def cancel(self, name: str) -> bool:
         """The caller gives up an unanswered call; False if there is none."""
         call = self.calls.get(name)
-        if call is None or call.standing:
+        if call is None or call.is_established:
             return False
         now = self.now_us()
         self.log("caller gave up", call=name, waited_ms=(now - call.taken_us) // 1000, attempts=call.attempts,
                  left_ms=(call.request.deadline_us - now) // 1000, **self._labels(call))
-        self._finish(call, Final.GIVEN_UP)
+        self._finish(call, FinalResult.CANCELLED)
         self._feed(io.CallerGone(name))
         if call.attempt is not None:
             self._give_up(call, io.Outcome.CALLED_OFF, settled=True)
@@ -141,16 +141,16 @@
             for peer in self.roster:
                 self.peers.release(peer, name, cause)
             return False
-        if call is None or not call.standing or call.attempt is None:
+        if call is None or not call.is_established or call.attempt is None:
             return False
         self.counts["releases_by_caller"] += 1
         self.peers.release(call.attempt.peer, name, cause)
-        self._over(call, AttemptEnd(io.Outcome.OK if cause == NORMAL else io.Outcome.CUT))
+        self._over(call, AttemptEnd(io.Outcome.OK if cause == NORMAL_CLEARING else io.Outcome.CUT))
         return True
 
     def count_unanswered(self) -> int:
         """Return how many calls wait for their final answer."""
-        return sum(not call.standing for call in self.calls.values())
+        return sum(not call.is_established for call in self.calls.values())
 
     # ---- what peers do
 
@@ -160,18 +160,18 @@
         if call is None or call.attempt is None:
             # The answer to an attempt given up: the peer holds circuits for a call that nobody waits for.
             self.counts["answers_late"] += 1
-            self.peers.release(peer, name, NORMAL)
+            self.peers.release(peer, name, NORMAL_CLEARING)
             return
-        if call.standing:
+        if call.is_established:
             self.counts["answers_repeated"] += 1
             return
-        call.standing = True
+        call.is_established = True
         self._stop(call)
         self.counts["final_answered"] += 1
         call.caller.on_answered(name, description)
-        self._note(call, Final.ANSWERED.value)
+        self._note(call, FinalResult.ANSWERED.value)
         if call.admission is not None:
-            call.admission.final(call.request, Final.ANSWERED, self.now_us())
+            call.admission.final(call.request, FinalResult.ANSWERED, self.now_us())
         delay = self.now_us() - call.attempt.sent_us
         self._feed(io.CallStands(name, call.attempt.number, peer, delay))
 
@@ -181,7 +181,7 @@
         if call is None:
             self.counts["releases_unknown"] += 1
             self._orphan(name, end.outcome)
-        elif call.standing:
+        elif call.is_established:
             self._cut_or_ended(call, end)
         else:
             if call.attempt is not None and end.outcome is not io.Outcome.UNREACHABLE:
@@ -195,14 +195,14 @@
         if self._seen is not None and name not in self._seen and (ended or outcome is io.Outcome.CUT):
             self._seen.add(name)
             self.counts["releases_passed_on"] += 1
-            self.orphaned(name, NORMAL if ended else CUT)
+            self.orphaned(name, NORMAL_CLEARING if ended else TEMPORARY_FAILURE)
 
     def _no_more_orphans(self) -> None:
         self._seen = None
 
     def on_peer_lost(self, peer: str) -> list[str]:
         """A peer's process has died, and its calls with it: nobody else will release them. Returns them."""
-        lost = [call for call in self.at_peer.get(peer, {}).values() if call.standing]
+        lost = [call for call in self.calls_by_peer.get(peer, {}).values() if call.is_established]
         for call in lost:
             self._cut_or_ended(call, AttemptEnd(io.Outcome.CUT))
         return [call.request.call for call in lost]
@@ -229,8 +229,8 @@
                 self.free.pop(name, None)
                 self.on_peer_lost(name)  # a machine that vanished sends no release
             elif new.started_us and new.started_us != old.started_us:
-                for call in list(self.at_peer.get(name, {}).values()):  # calls of the process before
-                    if call.standing and call.attempt and call.attempt.sent_us < new.started_us:
+                for call in list(self.calls_by_peer.get(name, {}).values()):  # calls of the process before
+                    if call.is_established and call.attempt and call.attempt.sent_us < new.started_us:
                         self._cut_or_ended(call, AttemptEnd(io.Outcome.CUT))
 
     # ---- what the module asks for
@@ -270,7 +270,7 @@
             return load
         since = self.now_us() - self.round_trip_us.get(peer, 0)
         unseen = 0.0
-        for call in reversed(self.at_peer.get(peer, {}).values()):
+        for call in reversed(self.calls_by_peer.get(peer, {}).values()):
             if call.attempt is None or call.attempt.sent_us <= since:
                 break
             unseen += call.request.width
@@ -283,10 +283,10 @@
                 self._set_up(name, peer, self.now_us() + timeout_us)
             case io.Refuse(name, wait_us):
                 if (call := self._open(name)) is not None:
-                    self._answer(call, Final.REFUSED, wait_us)
+                    self._answer(call, FinalResult.REFUSED, wait_us)
             case io.Fail(name):
                 if (call := self._open(name)) is not None:
-                    self._answer(call, Final.FAILED)
+                    self._answer(call, FinalResult.FAILED)
             case io.CallOff(name, number):
                 call = self._open(name)
                 if call is not None and call.attempt is not None and call.attempt.number == number:
@@ -320,7 +320,7 @@
             self._feed(io.AttemptEnded(name, number, peer, io.Outcome.NOT_SENT, 0, False, cause))
             return
         call.attempt = attempt = Attempt(number, peer, now)
-        self.at_peer.setdefault(peer, {})[name] = call
+        self.calls_by_peer.setdefault(peer, {})[name] = call
         self.counts["attempts_sent"] += 1
         if call.admission is not None:
             call.admission.sent(call.request, entry, now)
@@ -331,21 +331,21 @@
 
     def _open(self, name: str) -> Call | None:
         call = self.calls.get(name)
-        return None if call is None or call.standing else call
+        return None if call is None or call.is_established else call
 
     def _at(self, peer: str, name: str) -> Call | None:
-        return self.at_peer.get(peer, {}).get(name)
+        return self.calls_by_peer.get(peer, {}).get(name)
 
     def _timed_out(self, call: Call, attempt: Attempt) -> None:
-        if call.attempt is attempt and not call.standing:
+        if call.attempt is attempt and not call.is_established:
             self._give_up(call, io.Outcome.TIMEOUT, settled=False)
 
     def _overdue(self, call: Call) -> None:
         """Refuse what the module has left unanswered: guards the one answer against its faults."""
-        if self.calls.get(call.request.call) is not call or call.standing:
+        if self.calls.get(call.request.call) is not call or call.is_established:
             return
         self.counts["answers_by_guard"] += 1
-        self._answer(call, Final.REFUSED, RETURN_US)
+        self._answer(call, FinalResult.REFUSED, RETURN_US)
         self._feed(io.CallerGone(call.request.call))
         if call.attempt is not None:
             self._give_up(call, io.Outcome.TIMEOUT, settled=True)
@@ -371,15 +371,16 @@
                                    now - attempt.sent_us, settled, end.cause, 0, load))
 
     def _leave(self, peer: str, name: str) -> None:
-        here = self.at_peer.get(peer)
+        here = self.calls_by_peer.get(peer)
         if here is not None:
             here.pop(name, None)
             if not here:
-                del self.at_peer[peer]
+                del self.calls_by_peer[peer]
 
     def _cut_or_ended(self, call: Call, end: AttemptEnd) -> None:
         """A call that stood is over by the peer's doing: release it towards its caller."""
-        call.caller.on_released(call.request.call, NORMAL if end.outcome is io.Outcome.OK else CUT)
+        call.caller.on_released(call.request.call,
+                                NORMAL_CLEARING if end.outcome is io.Outcome.OK else TEMPORARY_FAILURE)
         self._over(call, end)
 
     def _over(self, call: Call, end: AttemptEnd) -> None:
@@ -391,15 +392,15 @@
             call.admission.over(call.request, self.now_us())
         self._attempt_over(call, end, settled=True)
 
-    def _answer(self, call: Call, final: Final, wait_us: int = 0) -> None:
+    def _answer(self, call: Call, final: FinalResult, wait_us: int = 0) -> None:
         """Give the one final answer, if it is not a call that stands."""
         self._finish(call, final)
-        if final is Final.REFUSED:
+        if final is FinalResult.REFUSED:
             call.caller.on_refused(call.request.call, wait_us)
         else:
             call.caller.on_failed(call.request.call)
 
-    def _finish(self, call: Call, final: Final) -> None:
+    def _finish(self, call: Call, final: FinalResult) -> None:
         self._stop(call)
         self.calls.pop(call.request.call, None)
         self.counts["final_" + final.value.replace(" ", "_")] += 1
@@ -419,7 +420,7 @@
 
     def _note(self, call: Call, event: str) -> None:
         request = call.request
-        self.record(Record(request.call, self.now_us(), event, request.service_name, request.number,
+        self.record(CallRecord(request.call, self.now_us(), event, request.service_name, request.number,
                            request.dest, request.transit, call.attempts,
                            call.attempt.peer if call.attempt else "", call.taken_us,
                            call.label))
--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from astertrack.core import NORMAL, AttemptEnd, Request
+from astertrack.core import NORMAL_CLEARING, AttemptEnd, Request
 from astertrack.net.base import Conversation
 from astertrack.net.links import Link
 from astertrack.wire import callapi as api
@@ -129,8 +129,8 @@
 
     def resumed(self) -> None:
         """Ask for what became of the calls that stand."""
-        for call, held in self.router.at_peer.get(self.name, {}).items():
-            if held.standing:
+        for call, held in self.router.calls_by_peer.get(self.name, {}).items():
+            if held.is_established:
                 self._tell(api.Resume(call))
 
     def heard(self, message: api.Message) -> None:
@@ -147,7 +147,7 @@
             case api.Cancelled(call):
                 self._over(call, io.Outcome.CUT)
             case api.Released(call, cause):
-                self._over(call, io.Outcome.OK if cause == NORMAL else io.Outcome.CUT)
+                self._over(call, io.Outcome.OK if cause == NORMAL_CLEARING else io.Outcome.CUT)
             case api.Error(code, reason, call):
                 log.warning("destination sent an error", peer=self.name, code=code, reason=reason, call=call)
                 if call is not None:  # the call is not there, or never will be
--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.python.failure import Failure
 
-from astertrack.core import CUT, NORMAL, AttemptEnd, Request, Router
+from astertrack.core import NORMAL_CLEARING, TEMPORARY_FAILURE, AttemptEnd, Request, Router
 from astertrack.core.model import Timer
 from astertrack.net.base import Conversation, failed_as
 from astertrack.net.clock import ReactorClock
@@ -117,7 +117,7 @@
             self.probe()
         if now - self._heard_us > LOST_US and (calls := self.router.on_peer_lost(self.name)):
             log.warning("calls at a silent peer are given up", peer=self.name, calls=len(calls))
-            self.owed += [(call, CUT, True, now) for call in calls]
+            self.owed += [(call, TEMPORARY_FAILURE, True, now) for call in calls]
 
     def dial(self) -> None:
         """Connect, unless a connection is up or coming."""
@@ -195,7 +195,7 @@
         opened, self.open = self.open, set()
         if why != "peer_closes":
             log.warning("connection to a peer ended", peer=self.name, why=why, set_ups=len(opened))
-        self.owed += [(call, NORMAL, False, now) for call in opened]
+        self.owed += [(call, NORMAL_CLEARING, False, now) for call in opened]
         for call in opened:
             self.router.on_ended(self.name, call, AttemptEnd(self.broken))
         if now - self._up_us < YOUNG_US:
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from astertrack.core import CUT, NORMAL, AttemptEnd, Request
+from astertrack.core import NORMAL_CLEARING, TEMPORARY_FAILURE, AttemptEnd, Request
 from astertrack.core.model import Clock, Timer
 from astertrack.net.base import Conversation
 from astertrack.net.links import WATCH_US, Link
@@ -25,7 +25,7 @@
 LATE_US = 100_000  # a look at the links that comes later than this waits for the next one
 PROBE_US = 250_000  # a probe unanswered for so long has failed
 OUTCOMES = {34: io.Outcome.TURNED_AWAY, 17: io.Outcome.NUMBER_FAULT, 47: io.Outcome.NUMBER_FAULT,
-            102: io.Outcome.NOT_SENT, CUT: io.Outcome.CUT, NORMAL: io.Outcome.OK}
+            102: io.Outcome.NOT_SENT, TEMPORARY_FAILURE: io.Outcome.CUT, NORMAL_CLEARING: io.Outcome.OK}
 NOTES = {"congestion": io.Cause.NO_CIRCUIT, "crankback": io.Cause.CRANKBACK,
          "remote_throttled": io.Cause.CRANKBACK_FULL, "throttled": io.Cause.PROCESSOR_FULL,
          "engaged": io.Cause.LINES_BUSY}
@@ -234,7 +234,7 @@
 
     def cancel_set_up(self, peer: str, call: str) -> None:
         """Give up a set-up that is out."""
-        self.release(peer, call, NORMAL)
+        self.release(peer, call, NORMAL_CLEARING)
 
     def release(self, peer: str, call: str, cause: int) -> None:
         """Release a call that stands."""
--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -18,7 +18,7 @@
 
 from astertrack.checking import expected_at
 from astertrack.config import ConfigError, split_address
-from astertrack.core import Approval, Final, Policy, Refusal, Request, RouteConstraint, Router
+from astertrack.core import Approval, FinalResult, Policy, Refusal, Request, RouteConstraint, Router
 from astertrack.net.control import TICK_US, ControlClient
 from astertrack.parts import read_tables
 from astertrack.parts.model import Given
@@ -153,10 +153,10 @@
     def sent(self, token: object, request: Request, entry: io.Entry, now_us: int) -> None:
         """Nothing hangs on it."""
 
-    def final(self, token: object, request: Request, final: Final, now_us: int) -> None:
+    def final(self, token: object, request: Request, final: FinalResult, now_us: int) -> None:
         """A call's end tells of its version, unless its caller had enough of waiting or it was only passing."""
-        if isinstance(token, _Token) and final is not Final.GIVEN_UP and not request.transit:
-            self._outcome(token.version, request, token.dest, now_us, final is not Final.ANSWERED)
+        if isinstance(token, _Token) and final is not FinalResult.CANCELLED and not request.transit:
+            self._outcome(token.version, request, token.dest, now_us, final is not FinalResult.ANSWERED)
 
     def _outcome(self, version: InForce, request: Request, dest: int, now_us: int, failed: bool) -> None:
         exchange = version.plan.of("exchange").get(str(request.dest))
--- a/astertrack/store/records.py
+++ b/astertrack/store/records.py
@@ -10,7 +10,7 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
-from astertrack.core.model import Record
+from astertrack.core.model import CallRecord
 
 log = structlog.get_logger()
 QUEUE_MOST = 10_000  # records that wait; the newest are dropped beyond that, and counted
@@ -33,7 +33,7 @@
 class Store(Protocol):
     """Where records go."""
 
-    def record(self, record: Record) -> None:
+    def record(self, record: CallRecord) -> None:
         """Take a record; returns at once."""
 
     def waiting(self) -> int:
@@ -46,7 +46,7 @@
 class NullStore:
     """No store."""
 
-    def record(self, record: Record) -> None:
+    def record(self, record: CallRecord) -> None:
         """Forget it."""
 
     def waiting(self) -> int:
@@ -65,12 +65,12 @@
         self.reactor, self.pool, self.counts = reactor, pool, counts
         self.mark = mark
         self.insert = INSERT.format(", ".join([mark] * 11))
-        self.queue: deque[Record] = deque()
+        self.queue: deque[CallRecord] = deque()
         self.made = self.busy = self.closing = False
         self.tries = 0
         self.closed: Deferred[None] = Deferred()
 
-    def record(self, record: Record) -> None:
+    def record(self, record: CallRecord) -> None:
         """Queue a record; one too many is lost, and counted."""
         if len(self.queue) >= QUEUE_MOST:
             self.counts["store_lost"] += 1
@@ -88,7 +88,7 @@
         done = self.pool.runInteraction(self._insert, batch)
         done.addCallbacks(self._written, self._failed, callbackArgs=(len(batch),), errbackArgs=(len(batch),))
 
-    def _insert(self, transaction: Any, batch: list[Record]) -> None:
+    def _insert(self, transaction: Any, batch: list[CallRecord]) -> None:
         """Runs in the pool's thread, in one transaction: a batch is written whole or not at all."""
         if not self.made:
             transaction.execute(TABLE)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from astertrack.core import NORMAL, AttemptEnd
+from astertrack.core import NORMAL_CLEARING, AttemptEnd
 from astertrack.net.callers import CHOKED_US, IDLE_US, SPEAK_US, SWEEP_US
 from astertrack.wire import sip
 from ospreylug import interface as io
@@ -238,7 +238,7 @@
     assert releases(first_transport) == [ONE]  # no caller has ever said so: it need not
     assert not callers.front.releases
     first.dataReceived(HEARD)
-    callers.front.release(ONE, NORMAL, first)
+    callers.front.release(ONE, NORMAL_CLEARING, first)
     callers.pass_time(1)
     assert releases(first_transport) == [ONE, ONE]
     assert releases(other_transport) == [ONE]
@@ -246,7 +246,7 @@
 
 def test_a_release_without_a_connection_that_answered_calls_waits_only_a_moment() -> None:
     callers = Callers()
-    callers.front.release(ONE, NORMAL)
+    callers.front.release(ONE, NORMAL_CLEARING)
     callers.pass_time(2)
     connection, transport = callers.connect()
     connection.dataReceived(PING)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -14,7 +14,7 @@
 from hypothesis.stateful import invariant
 from test_router import Calls, World
 
-from astertrack.core import Approval, Final, Refusal, Request, RouteConstraint
+from astertrack.core import Approval, FinalResult, Refusal, Request, RouteConstraint
 from astertrack.parts.versions import PlanPolicy
 from astertrack.plan import Desk, Plan, build
 from astertrack.plan.model import Choice, Exchange, Limit, Prefix
@@ -53,7 +53,7 @@
         """Keep it."""
         self.sents.append((request.call, entry.number))
 
-    def final(self, token: object, request: Request, final: Final, now_us: int) -> None:
+    def final(self, token: object, request: Request, final: FinalResult, now_us: int) -> None:
         """Keep it."""
         self.finals[request.call] += 1
         self.order.append(f"{self.name} final")
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -304,7 +304,7 @@
     @invariant()
     def each_set_up_is_somewhere_and_once(self) -> None:
         link, router = self.peer.link, self.peer.router
-        out = {n for n, c in router.calls.items() if c.attempt is not None and not c.standing}
+        out = {n for n, c in router.calls.items() if c.attempt is not None and not c.is_established}
         assert out == link.open | set(link.waiting)
         assert not link.open & set(link.waiting)
         assert not link.open or link.connection is not None
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from astertrack.core import CUT, NORMAL, AttemptEnd, Gate, Policy, Request, Router
-from astertrack.core.model import Record
+from astertrack.core import NORMAL_CLEARING, TEMPORARY_FAILURE, AttemptEnd, Gate, Policy, Request, Router
+from astertrack.core.model import CallRecord
 from astertrack.core.router import MARGIN_US
 from ospreylug import interface as io
 
@@ -42,7 +42,7 @@
         self.answers: dict[str, str] = {}
         self.waits: dict[str, int] = {}
         self.over: Counter[str] = Counter()
-        self.records: list[Record] = []
+        self.records: list[CallRecord] = []
         self.ended_us: dict[str, int] = {}  # call: when an attempt ended of which the release is awaited
         self.faults: list[str] = []
         given = settings(callers_wait=True, max_caller_wait_us=2 * SECOND, release_us=300_000)
@@ -87,7 +87,7 @@
         self.out[request.call] = peer
 
     def cancel_set_up(self, peer: str, call: str) -> None:
-        self.release(peer, call, NORMAL)
+        self.release(peer, call, NORMAL_CLEARING)
         self.ended_us[call] = self.now
 
     def release(self, peer: str, call: str, cause: int) -> None:
@@ -158,7 +158,7 @@
     world.offer("a", wait_us=SECOND)
     world.pass_time(SECOND - MARGIN_US)
     assert world.finals["a"] == 1
-    assert world.released == [("x1", "a", NORMAL)]
+    assert world.released == [("x1", "a", NORMAL_CLEARING)]
 
 
 def test_a_call_the_module_gave_up_on_is_answered_at_once_with_a_time_to_return() -> None:
@@ -174,7 +174,7 @@
     assert world.router.cancel("a")
     world.released.clear()
     world.router.on_answered("x1", "a", b"too late")
-    assert world.released == [("x1", "a", NORMAL)]
+    assert world.released == [("x1", "a", NORMAL_CLEARING)]
     assert not world.finals["a"]
 
 
@@ -183,9 +183,9 @@
     world.offer("a")
     world.router.on_answered("x1", "a", b"theirs")
     assert not world.router.cancel("a")
-    assert world.router.release_call("a", NORMAL)
-    assert not world.router.release_call("a", NORMAL)
-    assert world.released == [("x1", "a", NORMAL)]
+    assert world.router.release_call("a", NORMAL_CLEARING)
+    assert not world.router.release_call("a", NORMAL_CLEARING)
+    assert world.released == [("x1", "a", NORMAL_CLEARING)]
 
 
 def test_a_call_offered_with_hardly_any_time_is_refused_unsent() -> None:
@@ -288,7 +288,7 @@
         if (name := self.pick(at, list(self.offered))) is not None and self.world.router.cancel(name):
             self.given_up.add(name)
 
-    @rule(at=st.integers(0, 30), cause=st.sampled_from([NORMAL, CUT]))
+    @rule(at=st.integers(0, 30), cause=st.sampled_from([NORMAL_CLEARING, TEMPORARY_FAILURE]))
     def hang_up(self, at: int, cause: int) -> None:
         if (name := self.pick(at, list(self.offered))) is not None:
             self.world.router.release_call(name, cause)
