--- a/astertrack/app.py
+++ b/astertrack/app.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from astertrack.config import Config, ConfigError, read_bulletin
+from astertrack.config import Config, ConfigError, read_bulletin_address
 from astertrack.core import Gate, Router
 from astertrack.net.apilink import ApiLink
 from astertrack.net.bulletin import Bulletin, read_event
@@ -19,7 +19,7 @@
 from astertrack.net.peers import Endpoint, PeerLink, PeerTable
 from astertrack.net.websocket import CallFront
 from astertrack.parts import load_parts
-from astertrack.parts.model import Given
+from astertrack.parts.model import PartContext
 from astertrack.store import make_store
 from astertrack.wire.common import Unreadable
 from ospreylug import interface as io
@@ -43,7 +43,7 @@
         self.clock = ReactorClock(reactor)
         self.store = make_store(config.gateway.store, config.gateway.database, reactor, self.counts)
         self.peers = PeerTable(self._link, config.settings.home, self.clock)
-        self.parts = load_parts(Given(config, reactor, self.clock, self.counts, self.peers))
+        self.parts = load_parts(PartContext(config, reactor, self.clock, self.counts, self.peers))
         policies = [policy for part in self.parts for policy in part.policies()]
         self.router = Router(config.settings, config.seed, self.clock, self.peers, log.info, self.store.record,
                              self._orphaned, Gate(policies, log.warning, self.counts, bool(policies)), self.counts)
@@ -118,7 +118,7 @@
         for part in self.parts:
             part.reload()
         try:
-            address = read_bulletin()
+            address = read_bulletin_address()
         except ConfigError as wrong:
             self.counts["reloads_failed"] += 1
             log.warning("configuration not taken over", error=str(wrong))
@@ -168,6 +168,6 @@
         """Print the counters, one line."""
         self.counts["store_waiting"] = self.store.waiting()
         for part in self.parts:
-            part.count()
+            part.update_counters()
         figures = " ".join(f"{name}={self.counts[name]}" for name in sorted(self.counts))
         print(f"counters calls_in_hand={len(self.router.calls)} {figures}", file=sys.stderr, flush=True)
--- a/astertrack/cli/run.py
+++ b/astertrack/cli/run.py
@@ -45,13 +45,13 @@
     """Read a router's configuration in either form; raises ConfigError."""
     from dataclasses import replace  # noqa: PLC0415
 
-    from astertrack.config import GATEWAY, read_config, split_address  # noqa: PLC0415
+    from astertrack.config import DEFAULT_GATEWAY_FILE, read_config, split_address  # noqa: PLC0415
 
     if path.suffix != ".toml":
         return read_config(os.environ | {"RELAY_CONFIG": str(path)})
     from astertrack import routerfile  # noqa: PLC0415
 
-    config = routerfile.read_config(path, Path(os.environ.get("ASTERTRACK_GATEWAY") or GATEWAY))
+    config = routerfile.read_config(path, Path(os.environ.get("ASTERTRACK_GATEWAY") or DEFAULT_GATEWAY_FILE))
     if listen := os.environ.get("RELAY_LISTEN"):
         host, port = split_address(listen, "--listen")
         config = replace(config, host=host, port=port)
--- a/astertrack/config.py
+++ b/astertrack/config.py
@@ -17,7 +17,7 @@
 # Tables of our own file and their fields: an unknown one is a slip of the pen, and is said.
 GATEWAY_FIELDS = {"front": {"listen", "path"}, "store": {"kind", "database"}, "log": {"format", "level"},
                   "destination": {"name", "address", "path", "number", "zone"}}
-GATEWAY = Path(__file__).resolve().parent.parent / "deploy" / "gateway.toml"
+DEFAULT_GATEWAY_FILE = Path(__file__).resolve().parent.parent / "deploy" / "gateway.toml"
 
 
 class ConfigError(Exception):
@@ -137,7 +137,7 @@
     return min(int(told), given) if told else given
 
 
-def read_bulletin(environ: Mapping[str, str] = os.environ) -> str:
+def read_bulletin_address(environ: Mapping[str, str] = os.environ) -> str:
     """Read the bulletin's address anew, or raise a ConfigError: all that a running router takes over.
 
     Empty: the configuration is a file of our own that names no bulletin.
@@ -177,7 +177,7 @@
             dial_us=int(limits.get("dialTimeoutUs") or 500_000), bulletin=bulletin,
             known_last=int(known["no"]), known=list(known["items"]),
             sockets=_sockets(raw.get("limits")),
-            gateway=read_gateway(Path(environ.get("ASTERTRACK_GATEWAY") or GATEWAY),
+            gateway=read_gateway(Path(environ.get("ASTERTRACK_GATEWAY") or DEFAULT_GATEWAY_FILE),
                                  [str(zone) for zone in env.get("areas") or ()]))
     except WireError as wrong:
         raise ConfigError(f"settings: {wrong}") from None
--- a/astertrack/parts/__init__.py
+++ b/astertrack/parts/__init__.py
@@ -1,6 +1,6 @@
 """Subsystems as parts of one router: each wires its deciding package to its drivers.
 
-To add one, write a module with `make(given, tables)` and list it in PARTS with its file under deploy/. A part whose
+To add one, write a module with `make(context, tables)` and list it in PARTS with its file under deploy/. A part whose
 file switches it off, or that has no file, is not imported: it costs the platform nothing.
 """
 
@@ -14,7 +14,7 @@
 from typing import Any
 
 from astertrack.config import ConfigError
-from astertrack.parts.model import Given, Part
+from astertrack.parts.model import Part, PartContext
 
 DEPLOY = Path(__file__).resolve().parent.parent.parent / "deploy"
 # Module, its file under deploy/, the variable that names another file, and what switches it on: any of these
@@ -25,7 +25,7 @@
 )
 
 
-def read_tables(path: Path) -> dict[str, Any]:
+def read_toml(path: Path) -> dict[str, Any]:
     """Read a TOML file, or raise a ConfigError; without one, everything is off."""
     try:
         return tomllib.loads(path.read_text("utf-8"))
@@ -45,12 +45,12 @@
     return any(isinstance(tables.get(table), dict) and tables[table].get(name) for table, name in switches)
 
 
-def load_parts(given: Given, environ: Mapping[str, str] = os.environ) -> list[Part]:
+def load_parts(context: PartContext, environ: Mapping[str, str] = os.environ) -> list[Part]:
     """Make the parts that are switched on; raises ConfigError."""
     parts: list[Part] = []
     for module, file, variable, switches in PARTS:
         path = settings_path(file, variable, environ)
-        tables = read_tables(path)
+        tables = read_toml(path)
         if switched_on(tables, switches):
-            parts.append(import_module(module).make(given, path))
+            parts.append(import_module(module).make(context, path))
     return parts
--- a/astertrack/parts/model.py
+++ b/astertrack/parts/model.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class PartContext:
     """What every part is made with."""
 
     config: Config
@@ -39,5 +39,5 @@
     def stop(self) -> None:
         """Begin nothing more."""
 
-    def count(self) -> None:
+    def update_counters(self) -> None:
         """Bring the counters up to date."""
--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -16,12 +16,12 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.failure import Failure
 
-from astertrack.checking import expected_at
+from astertrack.checking import split_validation_error
 from astertrack.config import ConfigError, split_address
 from astertrack.core import Approval, FinalResult, Policy, Refusal, Request, RouteConstraint, Router
 from astertrack.net.control import TICK_US, ControlClient
-from astertrack.parts import read_tables
-from astertrack.parts.model import Given
+from astertrack.parts import read_toml
+from astertrack.parts.model import PartContext
 from astertrack.plan import Asked, Desk, Passed, Plan, Refused, Turned, build, write_line
 from astertrack.plan.files import read_plan
 from astertrack.store.versions import VersionFiles
@@ -80,9 +80,9 @@
 def read_settings(path: Path) -> Settings:
     """Read and check the file, or raise a ConfigError that names file, field and what was expected."""
     try:
-        settings = msgspec.convert(read_tables(path), Settings)
+        settings = msgspec.convert(read_toml(path), Settings)
     except msgspec.ValidationError as wrong:
-        expected, field = expected_at(wrong)
+        expected, field = split_validation_error(wrong)
         raise ConfigError(f"{path}: {field or 'the file'}: {expected}") from None
     if settings.service.address:
         _, port = split_address(settings.service.address, f"{path}: service.address")
@@ -172,10 +172,10 @@
 class VersionsPart:
     """Everything of it that one router has."""
 
-    def __init__(self, given: Given, path: Path) -> None:
-        self.given, self.path = given, path
+    def __init__(self, context: PartContext, path: Path) -> None:
+        self.context, self.path = context, path
         self.settings = read_settings(path)
-        config, settings = given.config, self.settings
+        config, settings = context.config, self.settings
         zones, at = config.zones, config.settings.zone
         zone = zones[at] if 0 <= at < len(zones) else ""
         self.source = random.Random(config.seed)
@@ -184,7 +184,7 @@
         self.files = VersionFiles(Path(settings.store.folder)) if settings.store.folder else None
         if self.files is not None:
             sys.setswitchinterval(SWITCH_S)
-        self.client = ControlClient(settings.service.address, config.name, self.versions, given.clock, given.counts,
+        self.client = ControlClient(settings.service.address, config.name, self.versions, context.clock, context.counts,
                                     self.source, self._store)
         self.policy = PlanPolicy(self.versions, Desk(zone, config.settings.home, self.source))
         self.router: Router | None = None
@@ -201,7 +201,7 @@
         if self.files is not None:
             kept, wrong = self.files.load()
             for line in wrong:
-                self.given.counts["versions_store_spoilt"] += 1
+                self.context.counts["versions_store_spoilt"] += 1
                 log.warning("kept version cannot be used", folder=str(self.files.folder), error=line)
             if kept is not None:
                 self.versions.restore(kept.id, kept.plan, router.now_us())
@@ -232,7 +232,7 @@
             settings = read_settings(self.path)
             offered = read_plan_file(self.path.parent / settings.plan.file) if settings.plan.file else None
         except ConfigError as wrong:
-            self.given.counts["reloads_failed"] += 1
+            self.context.counts["reloads_failed"] += 1
             log.warning("settings not taken over", error=str(wrong))
             return
         self.settings = settings
@@ -245,9 +245,9 @@
         self._stopped = True
         self.client.stop()
 
-    def count(self) -> None:
+    def update_counters(self) -> None:
         """Bring the counters up to date."""
-        counts, client = self.given.counts, self.client
+        counts, client = self.context.counts, self.client
         counts.update({name: value - counts[name] for name, value in self.versions.counts.items()})
         counts["control_longest_turn_us"] = client.longest_turn_us
         counts["control_reports_waiting"] = len(client.outbox)
@@ -263,15 +263,15 @@
             return
         if self.versions.probation is not None and self.router is not None:
             up: dict[int, list[bool]] = {}
-            for name, link in self.given.peers.links.items():
+            for name, link in self.context.peers.links.items():
                 entry = self.router.roster.get(name)
                 if entry is not None:
                     up.setdefault(entry.zone, []).append(link.sound())
             for zone, links in up.items():
                 if links.count(False) >= CUT_SHARE * len(links):
-                    zones = self.given.config.zones
+                    zones = self.context.config.zones
                     self.versions.disturbed(zones[zone] if 0 <= zone < len(zones) else "")
-        self.given.clock.call_at(self.given.clock.now_us() + TICK_US, self._watch)
+        self.context.clock.call_at(self.context.clock.now_us() + TICK_US, self._watch)
 
     # ---- the store
 
@@ -290,15 +290,15 @@
             self._in_thread("point", lambda: files.point(id))
 
     def _in_thread(self, what: str, do: Callable[[], bool]) -> None:
-        pool = self.given.reactor.getThreadPool()
-        self._storing.addCallback(lambda _: deferToThreadPool(self.given.reactor, pool, do))
+        pool = self.context.reactor.getThreadPool()
+        self._storing.addCallback(lambda _: deferToThreadPool(self.context.reactor, pool, do))
         self._storing.addCallbacks(lambda done: self._stored(what, done), lambda wrong: self._unstored(what, wrong))
 
     def _stored(self, what: str, done: bool) -> None:
-        self.given.counts[f"versions_store_{what}" if done else "versions_store_not_whole"] += 1
+        self.context.counts[f"versions_store_{what}" if done else "versions_store_not_whole"] += 1
 
     def _unstored(self, what: str, wrong: Failure) -> None:
-        self.given.counts["versions_store_failures"] += 1
+        self.context.counts["versions_store_failures"] += 1
         log.warning("version not stored", step=what, error=str(wrong.value))
 
     def _write_whole(self, id: VersionId, plan: Plan) -> None:
@@ -312,7 +312,7 @@
                 pieces.append(b"\n".join((*lines, b"")))
                 counted[0] += len(lines)
                 counted[1] += len(pieces[-1])
-                self.given.reactor.callLater(0, some, records)
+                self.context.reactor.callLater(0, some, records)
             elif (files := self.files) is not None:
                 header = Header(id.epoch, id.number, counted[0], counted[1], digest_of(pieces), f"{plan.state:064x}")
                 self._in_thread("keep", lambda: files.keep(header, pieces))
@@ -329,6 +329,6 @@
     return digest.hexdigest()
 
 
-def make(given: Given, path: Path) -> VersionsPart:
+def make(context: PartContext, path: Path) -> VersionsPart:
     """Make the part; raises ConfigError."""
-    return VersionsPart(given, path)
+    return VersionsPart(context, path)
--- a/astertrack/plan/files.py
+++ b/astertrack/plan/files.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from astertrack.checking import expected_at
+from astertrack.checking import split_validation_error
 from astertrack.plan.model import KINDS, Finding, Reason, Record, Refused, from_table
 
 
@@ -40,7 +40,7 @@
         try:
             head = msgspec.convert(version, VersionTable)
         except msgspec.ValidationError as wrong:
-            expected, path = expected_at(wrong)
+            expected, path = split_validation_error(wrong)
             raise Refused(Finding(Reason.SCHEMA, expected, 0, f"version.{path}".rstrip("."))) from None
     records: list[Record] = []
     for kind, held in raw.items():
--- a/astertrack/plan/model.py
+++ b/astertrack/plan/model.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from astertrack.checking import expected_at
+from astertrack.checking import split_validation_error
 
 NUMBER_MOST = 32  # characters of a prefix: a number called has 16 on the platform, 15 by E.164
 RANGE_MOST = 400  # prefixes that one range may stand for; one of n digits needs 18 n at most
@@ -224,7 +224,7 @@
 
 def _finding(wrong: Exception, line: int) -> Finding:
     """Turn the checker's words into ours: what was expected, and the path to the field."""
-    expected, path = expected_at(wrong)
+    expected, path = split_validation_error(wrong)
     return Finding(Reason.SCHEMA, expected, line, path)
 
 
--- a/astertrack/routerfile.py
+++ b/astertrack/routerfile.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from astertrack.checking import expected_at
+from astertrack.checking import split_validation_error
 from astertrack.config import Config, ConfigError, read_gateway, split_address
 from ospreylug import interface as io
 
@@ -89,7 +89,7 @@
         raw: dict[str, Any] = tomllib.loads(path.read_text("utf-8"))
         return msgspec.convert(raw, RouterFile)
     except msgspec.ValidationError as wrong:
-        expected, field = expected_at(wrong)
+        expected, field = split_validation_error(wrong)
         raise ConfigError(f"{path}: {field or 'the file'}: {expected}") from None
     except (OSError, ValueError) as wrong:
         raise ConfigError(f"{path}: {wrong}") from None
--- a/astertrack/versions/model.py
+++ b/astertrack/versions/model.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from astertrack.checking import expected_at
+from astertrack.checking import split_validation_error
 from astertrack.plan import Finding, Plan, Reason, Refused, write_line
 from astertrack.plan.model import Line
 
@@ -70,7 +70,7 @@
     try:
         return _headers.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as wrong:
-        expected, path = expected_at(wrong)
+        expected, path = split_validation_error(wrong)
         raise Refused(Finding(Reason.SCHEMA, expected, 0, path)) from None
 
 
