--- a/ospreylug/interface.py
+++ b/ospreylug/interface.py
@@ -160,10 +160,10 @@
     free: float | None = None  # free circuits of the group towards it: true when told
     size: float | None = None  # circuits of that group
     queue: float | None = None  # set-ups waiting at its processor
-    in_work: float | None = None  # set-ups in work there
-    busy: float | None = None  # share of the processor that is busy
+    in_progress: float | None = None  # set-ups in work there
+    utilization: float | None = None  # share of the processor that is busy
     wait_us: float | None = None  # the wait at its processor
-    takes_per_s: float | None = None  # set-ups a second that it can take from all senders
+    capacity_per_s: float | None = None  # set-ups a second that it can take from all senders
     hold_back: float | None = None  # share of set-ups that it asks every sender to hold back
 
 
--- a/ospreylug/logic.py
+++ b/ospreylug/logic.py
@@ -101,7 +101,7 @@
         """
         least = self.least_us.get(self.entry.number)
         wait_us, queue, takes, share = (v if v is not None and 0 <= v < math.inf else None for v in (
-            load.wait_us, load.queue, load.takes_per_s, load.hold_back))
+            load.wait_us, load.queue, load.capacity_per_s, load.hold_back))
         self.best = max(self.best, takes or 0.0)
         if wait_us is None and queue is not None and self.best:
             wait_us = queue / self.best * 1e6
--- a/ospreylug/wirehost.py
+++ b/ospreylug/wirehost.py
@@ -126,8 +126,8 @@
             return None
         return value * factor
 
-    return io.Load(free=told("free"), size=told("size"), queue=told("backlog"), in_work=told("outstanding"),
-                   busy=told("utilization"), wait_us=told("recent_ms", 1000.0), takes_per_s=told("can_take"),
+    return io.Load(free=told("free"), size=told("size"), queue=told("backlog"), in_progress=told("outstanding"),
+                   utilization=told("utilization"), wait_us=told("recent_ms", 1000.0), capacity_per_s=told("can_take"),
                    hold_back=told("hold_back"))
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -659,9 +659,9 @@
     stage.delays(2, 50_000, 1)
     far = stage.controller.far["x2"]
     before = far.sum_delay
-    far.hint(io.Load(queue=2.0, takes_per_s=10.0))
+    far.hint(io.Load(queue=2.0, capacity_per_s=10.0))
     assert far.sum_delay - before == pytest.approx(250_000)
-    far.hint(io.Load(queue=2.0, takes_per_s=1.0))
+    far.hint(io.Load(queue=2.0, capacity_per_s=1.0))
     assert far.sum_delay - before == pytest.approx(500_000)
 
 
@@ -671,7 +671,7 @@
     stage.delays(2, 50_000, 1)
     far = stage.controller.far["x2"]
     before = far.samples, far.sum_delay
-    far.hint(io.Load(wait_us=value, queue=value, takes_per_s=value, hold_back=value))
+    far.hint(io.Load(wait_us=value, queue=value, capacity_per_s=value, hold_back=value))
     assert (far.samples, far.sum_delay) == before
 
 
