--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -4,7 +4,7 @@
 from helpers import ORDINARY, SECOND, Stage, entries, refused, sent_to, settings
 
 from ospreylug import interface as io
-from ospreylug.logic import DRAWN, REST_DOUBLINGS, Grade
+from ospreylug.logic import MAX_BACKOFF_DOUBLINGS, TANDEM_SAMPLE_SIZE, Grade
 
 
 def test_class_out_of_range_is_refused_at_once() -> None:
@@ -52,9 +52,9 @@
     for number in range(0, 3000, 7):
         stage.free(number, 0)
     assert sent_to(stage.offer(7)[1])
-    assert len(stage.controller.sticky[7]) <= DRAWN
+    assert len(stage.controller.remembered_tandems[7]) <= TANDEM_SAMPLE_SIZE
     stage.tell(io.RosterChange(io.RosterKind.REPLACE, entries(range(3))))
-    assert stage.controller.numbers == [1, 2]
+    assert stage.controller.ready_numbers == [1, 2]
 
 
 def test_no_rest_lasts_for_ever() -> None:
@@ -65,7 +65,7 @@
         if sent_to(actions):
             stage.ends(name, 1, io.Outcome.TURNED_AWAY, io.Cause.CRANKBACK)
         stage.pass_time(SECOND)
-    stage.now += stage.controller.rest_us << REST_DOUBLINGS
+    stage.now += stage.controller.tandem_backoff_us << MAX_BACKOFF_DOUBLINGS
     assert sent_to(stage.offer(2)[1]) == ["x1"]
 
 
@@ -75,7 +75,7 @@
     stage.pass_time(SECOND)
     stage.delays(2, 20_000_000, 6)
     stage.pass_time(SECOND)
-    assert stage.controller.far["x2"].grade is Grade.FAIR
+    assert stage.controller.exchanges["x2"].grade is Grade.FAIR
     for _ in range(3):
         stage.pass_time(SECOND)
     assert sent_to(stage.offer(2)[1]) == ["x2"]
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -6,24 +6,24 @@
 from ospreylug import Controller
 from ospreylug import interface as io
 from ospreylug.logic import (
-    BUSY_NUMBER_US,
-    FURTHER_ATTEMPTS,
-    LONGEST_PERIODS,
-    RESERVE,
-    REST_DOUBLINGS,
-    REST_HOLDS,
+    BUSY_NUMBER_BACKOFF_US,
+    MAX_BACKOFF_DOUBLINGS,
+    MAX_FURTHER_ATTEMPTS,
+    MAX_SAMPLING_PERIODS,
+    TANDEM_BACKOFF_HOLDING_TIMES,
+    TRUNK_RESERVATION,
     Grade,
 )
 
-REST_US = int(REST_HOLDS * ORDINARY.hold_us)
+REST_US = int(TANDEM_BACKOFF_HOLDING_TIMES * ORDINARY.hold_us)
 
 
 def grade(stage: Stage, number: int) -> Grade:
-    return stage.controller.far[f"x{number}"].grade
+    return stage.controller.exchanges[f"x{number}"].grade
 
 
 def own(stage: Stage) -> Grade:
-    return stage.controller.own
+    return stage.controller.own_grade
 
 
 def press(stage: Stage, number: int, to: Grade) -> None:
@@ -53,7 +53,7 @@
 
 def test_unknown_circuits_are_not_zero() -> None:
     stage = Stage()
-    assert stage.controller.far["x2"].free is None
+    assert stage.controller.exchanges["x2"].free is None
     assert sent_to(stage.offer(2)[1]) == ["x2"]
 
 
@@ -85,11 +85,11 @@
     """Guards large fleets: tandems without a group onward would be learnt anew after each rest."""
     stage = Stage(exchanges=3)
     stage.free(2, 0)
-    for blocks in range(REST_DOUBLINGS + 1):
+    for blocks in range(MAX_BACKOFF_DOUBLINGS + 1):
         name, actions = stage.offer(2)
         assert sent_to(actions) == ["x1"]
         stage.ends(name, 1, io.Outcome.TURNED_AWAY, io.Cause.CRANKBACK)
-        stage.now += (REST_US << min(blocks, REST_DOUBLINGS)) - 1
+        stage.now += (REST_US << min(blocks, MAX_BACKOFF_DOUBLINGS)) - 1
         assert not sent_to(stage.offer(2)[1])
         stage.now += 1
     name, actions = stage.offer(2)
@@ -137,7 +137,8 @@
     assert second not in (first, "x2")
 
 
-@pytest.mark.parametrize(("free", "goes"), [(RESERVE + 1, True), (RESERVE, False), (1, False), (0, False)])
+@pytest.mark.parametrize(("free", "goes"), [
+    (TRUNK_RESERVATION + 1, True), (TRUNK_RESERVATION, False), (1, False), (0, False)])
 def test_transit_is_turned_back_at_the_reserve(free: float, goes: bool) -> None:
     stage = Stage()
     stage.free(2, free)
@@ -186,7 +187,7 @@
 def test_one_circuit_is_kept_for_a_class_worth_clearly_more() -> None:
     stage = Stage(settings(classes=(ORDINARY, URGENT)), exchanges=3)
     stage.free(2, 1)
-    stage.free(1, RESERVE + 1)
+    stage.free(1, TRUNK_RESERVATION + 1)
     assert not sent_to(stage.offer(2)[1])  # keeps it direct, and on top of the reserve towards a tandem
     assert sent_to(stage.offer(2, service=1)[1]) == ["x2"]
 
@@ -208,7 +209,7 @@
     stage.delays(2, 50_000, 5)
     stage.pass_time(SECOND)
     stage.delays(2, 5_000_000, 4)
-    for _ in range(LONGEST_PERIODS):
+    for _ in range(MAX_SAMPLING_PERIODS):
         stage.pass_time(SECOND)
     stage.delays(2, 5_000_000, 1)
     stage.pass_time(SECOND)
@@ -290,8 +291,8 @@
         name, actions = stage.offer(2)
         (tandem,) = sent_to(actions)
         stage.ends(name, int(tandem[1:]), io.Outcome.TURNED_AWAY, io.Cause.CRANKBACK_FULL)
-    assert stage.controller.far["x2"].samples >= 1
-    assert stage.controller.far["x1"].samples == stage.controller.far["x3"].samples == 0
+    assert stage.controller.exchanges["x2"].sample_count >= 1
+    assert stage.controller.exchanges["x1"].sample_count == stage.controller.exchanges["x3"].sample_count == 0
 
 
 def test_two_leg_setups_feed_the_tandem_with_a_floor_of_their_own() -> None:
@@ -303,7 +304,7 @@
         assert sent_to(actions) == ["x1"]
         stage.stands(name, 1, 200_000)  # long for one leg, ordinary for two
     stage.pass_time(SECOND)
-    assert stage.controller.far["x1"].least_us == {1: 50_000.0, 2: 200_000.0}
+    assert stage.controller.exchanges["x1"].min_delays_us == {1: 50_000.0, 2: 200_000.0}
     assert grade(stage, 1) is Grade.LIGHT
 
 
@@ -315,9 +316,9 @@
     for _ in range(5):
         name, _ = stage.offer(2, deadline_us=stage.now + 600_000)
         stage.ends(name, 2, io.Outcome.TIMEOUT, delay_us=600_000)
-    far = stage.controller.far["x2"]
-    assert far.samples == 5
-    assert 1 - far.sum_least / far.sum_delay == pytest.approx(1.1 * 0.9)
+    far = stage.controller.exchanges["x2"]
+    assert far.sample_count == 5
+    assert 1 - far.min_delay_sum_us / far.delay_sum_us == pytest.approx(1.1 * 0.9)
     stage.pass_time(SECOND)
     assert grade(stage, 2) is Grade.FAIR
 
@@ -336,7 +337,7 @@
     assert refused(stage.ends(name, 2, io.Outcome.NUMBER_FAULT, io.Cause.LINES_BUSY))
     assert refused(stage.offer(2, number="hot")[1])
     assert sent_to(stage.offer(2, number="other")[1]) == ["x2"]
-    stage.now += BUSY_NUMBER_US
+    stage.now += BUSY_NUMBER_BACKOFF_US
     assert sent_to(stage.offer(2, number="hot")[1]) == ["x2"]
 
 
@@ -385,7 +386,7 @@
 
 def test_roster_that_must_be_asked_for_is_asked_and_asked_again() -> None:
     stage = Stage(settings(roster_on_request=True, ask_every_us=10 * SECOND))
-    assert stage.controller.asked_us == stage.now
+    assert stage.controller.roster_requested_us == stage.now
     stage.tell(io.RosterChange(io.RosterKind.UNAVAILABLE))
     stage.now += SECOND
     assert stage.tell(io.TimerDue("period")) == [io.WatchRoster()]
@@ -415,10 +416,10 @@
     """Guards overload: late calls earn a part, and each circuit they take is lost to a call in time."""
     stage = Stage(settings(classes=(io.ServiceClass(1_500_000, 9 * SECOND, 1.0, late_worth=0.25),)))
     late_redial(stage, "late")
-    stage.free(2, RESERVE + 1)
+    stage.free(2, TRUNK_RESERVATION + 1)
     assert refused(stage.offer(2, number="late")[1])
     assert sent_to(stage.offer(2, number="first try")[1]) == ["x2"]
-    stage.free(2, RESERVE + 2)
+    stage.free(2, TRUNK_RESERVATION + 2)
     assert sent_to(stage.offer(2, number="late")[1]) == ["x2"]
 
 
@@ -437,7 +438,7 @@
     stage.free(2, 1)
     assert sent_to(stage.offer(2, number="late")[1]) == ["x2"]
     stage.pass_time(10 * SECOND)
-    assert not stage.controller.first_us
+    assert not stage.controller.first_offer_us
 
 
 def test_redial_past_its_aim_takes_no_tandem() -> None:
@@ -455,7 +456,7 @@
         for number in range(1, 13):
             stage.delays(number, delay_us, 1)
         stage.pass_time(SECOND)
-    assert all(far.grade is Grade.LIGHT for far in stage.controller.far.values())
+    assert all(far.grade is Grade.LIGHT for far in stage.controller.exchanges.values())
 
 
 def test_own_processor_is_graded_by_all_streams_together() -> None:
@@ -494,7 +495,7 @@
     stage = Stage(exchanges=13)
     for number in range(1, 13):
         stage.delays(number, 5_000_000, 1)
-    assert stage.controller.pooled == []
+    assert stage.controller.delay_ratios == []
 
 
 def test_call_without_a_circuit_is_held_and_gets_the_first_that_frees() -> None:
@@ -520,7 +521,7 @@
     assert not stage.tell(io.GroupStatus("x2", True, 0, io.Load(free=5.0)))
     assert not stage.tell(io.TimerDue(f"held {name}"))
     stage.pass_time(SECOND)
-    assert not stage.controller.held
+    assert not stage.controller.queued
 
 
 def test_timer_of_a_call_that_was_sent_does_nothing() -> None:
@@ -597,7 +598,7 @@
             (via,) = sent_to(actions)
             actions = stage.ends(name, int(via[1:]), io.Outcome.TURNED_AWAY, io.Cause.CRANKBACK, tried)
             tried += 1
-        assert tried == (0 if pressed else FURTHER_ATTEMPTS + 2)
+        assert tried == (0 if pressed else MAX_FURTHER_ATTEMPTS + 2)
 
 
 WIDE = io.ServiceClass(aim_us=2 * SECOND, deadline_us=9 * SECOND, worth=4.0, width=3.0, hold_us=10 * SECOND)
@@ -608,7 +609,7 @@
     stage.free(1, 0)
     for size, kept in ((100.0, 3.0), (20.0, 2.0), (8.0, 1.0)):
         for free, goes in ((kept, False), (kept + 1, True)):
-            stage.controller.held.clear()
+            stage.controller.queued.clear()
             stage.tell(io.GroupStatus("x2", True, 0, io.Load(free=free, size=size)))
             assert bool(sent_to(stage.offer(2)[1])) is goes
 
@@ -649,30 +650,30 @@
     stage.delays(2, 50_000, 1)
     stage.pass_time(SECOND)
     reported(stage, load, 3)
-    far = stage.controller.far["x2"]
-    assert far.samples == 7
-    assert far.sum_delay > far.sum_least + 1_000_000
+    far = stage.controller.exchanges["x2"]
+    assert far.sample_count == 7
+    assert far.delay_sum_us > far.min_delay_sum_us + 1_000_000
 
 
 def test_queue_is_a_wait_at_the_rate_that_was_reported() -> None:
     stage = Stage()
     stage.delays(2, 50_000, 1)
-    far = stage.controller.far["x2"]
-    before = far.sum_delay
-    far.hint(io.Load(queue=2.0, capacity_per_s=10.0))
-    assert far.sum_delay - before == pytest.approx(250_000)
-    far.hint(io.Load(queue=2.0, capacity_per_s=1.0))
-    assert far.sum_delay - before == pytest.approx(500_000)
+    far = stage.controller.exchanges["x2"]
+    before = far.delay_sum_us
+    far.add_load_report(io.Load(queue=2.0, capacity_per_s=10.0))
+    assert far.delay_sum_us - before == pytest.approx(250_000)
+    far.add_load_report(io.Load(queue=2.0, capacity_per_s=1.0))
+    assert far.delay_sum_us - before == pytest.approx(500_000)
 
 
 @pytest.mark.parametrize("value", [-1.0, float("nan"), float("inf")])
 def test_absurd_report_counts_for_nothing(value: float) -> None:
     stage = Stage()
     stage.delays(2, 50_000, 1)
-    far = stage.controller.far["x2"]
-    before = far.samples, far.sum_delay
-    far.hint(io.Load(wait_us=value, queue=value, capacity_per_s=value, hold_back=value))
-    assert (far.samples, far.sum_delay) == before
+    far = stage.controller.exchanges["x2"]
+    before = far.sample_count, far.delay_sum_us
+    far.add_load_report(io.Load(wait_us=value, queue=value, capacity_per_s=value, hold_back=value))
+    assert (far.sample_count, far.delay_sum_us) == before
 
 
 def test_frozen_report_holds_no_grade_for_ever() -> None:
@@ -696,11 +697,11 @@
         stage.pass_time(SECOND)
         if lost < 6:
             stage.ends(name, 2, io.Outcome.TIMEOUT, delay_us=ORDINARY.aim_us)
-    far = stage.controller.far["x2"]
-    assert len(far.out) == 2
+    far = stage.controller.exchanges["x2"]
+    assert len(far.pending) == 2
     assert far.grade is Grade.LIGHT
     assert own(stage) is Grade.LIGHT
-    assert far.sum_delay == far.sum_least
+    assert far.delay_sum_us == far.min_delay_sum_us
 
 
 def test_a_refusal_names_an_instant_of_the_next_period_and_to_a_late_redial_all_that_callers_honour() -> None:
--- a/tests/test_grade.py
+++ b/tests/test_grade.py
@@ -3,22 +3,22 @@
 import pytest
 
 from ospreylug import interface as io
-from ospreylug.logic import ALPHA, Far, Grade, step, thresholds
+from ospreylug.logic import HYSTERESIS, ExchangeState, Grade, load_thresholds, next_grade
 
 
 def test_thresholds_are_the_designs() -> None:
-    assert thresholds(20_000) == (0.8, 0.9)  # W1 five, W2 ten least delays
-    assert thresholds(50_000) == (0.8, 0.9)  # 10 x 50 ms is half a second
-    fair, heavy = thresholds(100_000)  # W2 held to half a second
+    assert load_thresholds(20_000) == (0.8, 0.9)  # W1 five, W2 ten least delays
+    assert load_thresholds(50_000) == (0.8, 0.9)  # 10 x 50 ms is half a second
+    fair, heavy = load_thresholds(100_000)  # W2 held to half a second
     assert heavy == pytest.approx(0.8)
     assert fair == pytest.approx(1 - 100 / 300)
 
 
 @pytest.mark.parametrize("least_us", [0, 1, 10_000, 62_500, 100_000, 249_000, 250_000, 900_000, 10**9])
 def test_thresholds_stay_ordered_and_below_one(least_us: float) -> None:
-    fair, heavy = thresholds(least_us)
+    fair, heavy = load_thresholds(least_us)
     assert 0 < fair < heavy
-    assert (1 + ALPHA) * heavy < 1
+    assert (1 + HYSTERESIS) * heavy < 1
 
 
 @pytest.mark.parametrize(
@@ -37,19 +37,19 @@
     ],
 )
 def test_transitions(before: Grade, load: float, after: Grade) -> None:
-    assert step(before, load, 20_000, True) is after
+    assert next_grade(before, load, 20_000, True) is after
 
 
 def test_without_five_samples_a_state_may_fall_but_not_rise() -> None:
-    assert step(Grade.LIGHT, 0.99, 20_000, False) is Grade.LIGHT
-    assert step(Grade.HEAVY, 0.1, 20_000, False) is Grade.FAIR
+    assert next_grade(Grade.LIGHT, 0.99, 20_000, False) is Grade.LIGHT
+    assert next_grade(Grade.HEAVY, 0.1, 20_000, False) is Grade.FAIR
 
 
 def test_the_rate_sent_to_an_exchange_is_known_after_the_first_period() -> None:
-    far = Far(io.Entry("x1", 1, 0))
+    state = ExchangeState(io.Entry("x1", 1, 0))
     rates = []
     for sent in (10, 20, 15):
-        far.sent = sent
-        far.settle(0)
-        rates.append(far.rate)
+        state.sent_count = sent
+        state.update_grade(0)
+        rates.append(state.set_up_rate)
     assert rates == [10, 15, 15]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -82,7 +82,7 @@
         sent = self.sent_cold.setdefault(exchange, [])
         sent.append(self.now)
         window = [t for t in sent if t > self.now - self.settings.fall_us]
-        rates = [far.rate for far in self.controller.far.values()]
+        rates = [state.set_up_rate for state in self.controller.exchanges.values()]
         most = max(1.0, max(rates) * 0.9 * self.settings.fall_us / 1e6)
         assert len(window) <= most + 1
 
