--- a/ospreylug/interface.py
+++ b/ospreylug/interface.py
@@ -1,6 +1,6 @@
-"""The interface of the decision module: what it is told and what it can ask for, in telephony's terms.
+"""The interface of the decision module: its settings, the events it takes and the actions it returns.
 
-Times are microseconds of the caller's own clock. Nothing here decides anything.
+Times are microseconds of the clock that is passed to Controller.handle. This module holds data types only.
 """
 
 from __future__ import annotations
@@ -10,22 +10,22 @@
 
 
 class Topology(Enum):
-    """How the far ends hang together."""
+    """How the remote exchanges are connected."""
 
-    MESH = "mesh"  # exchanges joined by trunk groups; calls may be in transit
-    POOLS = "pools"  # pools of agents that every controller shares; no transit
+    MESH = "mesh"  # exchanges joined by trunk groups; a call may go in transit through a tandem
+    POOLS = "pools"  # pools of agents shared by all controllers; no transit
 
 
 class Repeatability(Enum):
-    """What a second set-up of the same call may do."""
+    """Whether a call may be set up a second time after an attempt that may have been executed."""
 
     FREE = "free"  # may be repeated
-    GUARDED = "guarded"  # repeats are discarded inside one group of exchanges, for a while
-    SINGLE = "single"  # never twice
+    GUARDED = "guarded"  # the exchanges of one RepeatScope discard repeats within repeat_window_us
+    SINGLE = "single"  # must not be repeated
 
 
 class RepeatScope(Enum):
-    """Which exchanges discard repeats of a GUARDED call."""
+    """Which exchanges recognise and discard repeats of a GUARDED call."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,41 +33,41 @@
 
 
 class Readiness(Enum):
-    """State of an exchange in the roster."""
+    """Administrative state of an exchange in the roster."""
 
     READY = "ready"
-    DRAINING = "draining"
+    DRAINING = "draining"  # keeps its calls, takes no new ones
     GONE = "gone"
 
 
 class RosterKind(Enum):
-    """What a roster event holds."""
+    """What a roster event contains."""
 
-    UPDATE = "update"  # the changed entries only
+    UPDATE = "update"  # only the entries that changed
     REPLACE = "replace"  # the complete list
-    RESTORED = "restored"  # the complete list as held before a restart, possibly stale
-    UNAVAILABLE = "unavailable"  # a query failed or the subscription broke
+    RESTORED = "restored"  # the complete list from before a restart, possibly stale
+    UNAVAILABLE = "unavailable"  # nothing: a query failed or the subscription was lost
 
 
 class Outcome(Enum):
     """How an attempt ended."""
 
-    OK = "ok"  # the call stood and has ended
-    NUMBER_FAULT = "number fault"  # all lines of the number busy, or a signalling fault
+    OK = "ok"  # the call was established and has been released
+    NUMBER_FAULT = "number fault"  # all lines of the called number busy, or a signalling error
     TURNED_AWAY = "turned away"  # crankback, or a processor or pool was full
     TIMEOUT = "timeout"
-    UNREACHABLE = "unreachable"
-    CUT = "cut"
-    CALLED_OFF = "called off"
-    NOT_SENT = "not sent"  # no circuit free, own processor down, time or attempts used up
+    UNREACHABLE = "unreachable"  # no connection, so nothing was executed
+    CUT = "cut"  # the connection was lost
+    CALLED_OFF = "called off"  # cancelled
+    NOT_SENT = "not sent"  # no free circuit, own processor down, or time or attempts exhausted
 
 
 class Cause(Enum):
-    """Why an attempt ended as it did, where that is told."""
+    """The reported reason for the outcome of an attempt."""
 
     NONE = "none"
     NO_CIRCUIT = "no circuit"
-    CRANKBACK = "crankback"  # the tandem sent it back
+    CRANKBACK = "crankback"  # returned by the tandem
     CRANKBACK_FULL = "crankback, far processor full"
     PROCESSOR_FULL = "processor full"
     LINES_BUSY = "lines busy"
@@ -75,23 +75,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """A class of call."""
+    """A class of call. Its times are durations."""
 
-    aim_us: int
-    deadline_us: int
+    aim_us: int  # an answer within this time earns the full worth
+    deadline_us: int  # after this time the caller has given up
     worth: float
-    late_worth: float = 0.0
-    width: float = 1.0
-    hold_us: int = 0
+    late_worth: float = 0.0  # fraction of the worth that a later answer earns
+    width: float = 1.0  # circuits per call
+    hold_us: int = 0  # mean holding time
     repeatability: Repeatability = Repeatability.FREE
     repeat_scope: RepeatScope = RepeatScope.ALL
-    repeat_window_us: int = 0
-    pools: tuple[int, ...] = ()  # with POOLS: where it may go; empty: anywhere
+    repeat_window_us: int = 0  # how long GUARDED repeats are discarded
+    pools: tuple[int, ...] = ()  # with Topology.POOLS: the pools that may serve it; empty: any
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer who shares the network."""
+    """A customer that shares the network with others."""
 
     fraction: float
     quota_per_s: float
@@ -99,90 +99,93 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a controller is told once, at its start."""
+    """The settings of a controller, fixed at its start.
 
-    controllers: int
-    number: int
-    home: int  # number of the own exchange; -1 with POOLS
+    Raises ValueError, naming the field, for values that no network can have.
+    """
+
+    controllers: int  # controllers in the network, this one included
+    number: int  # of this controller
+    home: int  # number of the own exchange; -1 with Topology.POOLS
     topology: Topology
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
     over_share_worth: float = 1.0
     zone: int = -1
-    max_attempts: int = 1
-    release_us: int = 0
+    max_attempts: int = 1  # per call
+    release_us: int = 0  # wait before the next attempt after a time-out, a lost connection or a cancellation
     resend_us: int = 0
     drain_grace_us: int = 0
-    cold_from: float = 1.0
-    cold_us: int = 0
-    fall_multiple: float = 1.0
-    fall_us: int = 0
-    answer_grace_us: int = 0
-    roster_on_request: bool = False
-    ask_every_us: int = 0
+    cold_from: float = 1.0  # fraction of its capacity that a processor has when it starts
+    cold_us: int = 0  # warm-up time of a processor after its start
+    fall_multiple: float = 1.0  # a cold processor is overloaded above this multiple of its capacity
+    fall_us: int = 0  # time over which that load is measured
+    answer_grace_us: int = 0  # how long after its deadline a call may still be answered
+    roster_on_request: bool = False  # the roster is sent on request only
+    ask_every_us: int = 0  # period within which a roster on request has to be requested again
     may_probe: bool = False
     may_message: bool = False
     may_call_off: bool = False
-    callers_wait: bool = False  # callers are told how long to wait after a refusal
-    max_caller_wait_us: int = 0
-    tandem_advice: bool = False
+    callers_wait: bool = False  # refusals tell callers how long to wait
+    max_caller_wait_us: int = 0  # longest wait that callers honour
+    tandem_advice: bool = False  # offered calls may recommend a tandem
     tick_us: int = 1000
 
     def __post_init__(self) -> None:
-        """Turn down what no network can be."""
+        """Check the values."""
         if not isinstance(self.topology, Topology):
             raise ValueError(f"topology: unknown value {self.topology!r}")
         if self.controllers < 1:
-            raise ValueError(f"controllers: at least 1 is needed, not {self.controllers}")
+            raise ValueError(f"controllers: must be at least 1, but is {self.controllers}")
         if not self.classes:
-            raise ValueError("classes: at least one class of call is needed")
+            raise ValueError("classes: must contain at least one class of call")
         if self.max_attempts < 1:
-            raise ValueError(f"max_attempts: at least 1 is needed, not {self.max_attempts}")
+            raise ValueError(f"max_attempts: must be at least 1, but is {self.max_attempts}")
         for name in ("release_us", "resend_us", "drain_grace_us", "cold_us", "fall_us", "answer_grace_us",
                      "ask_every_us", "max_caller_wait_us", "cold_from", "fall_multiple", "tick_us",
                      "over_share_worth"):
             if not getattr(self, name) >= 0:
                 raise ValueError(f"{name}: must not be negative, but is {getattr(self, name)}")
-        for at, service in enumerate(self.classes):
+        for index, service in enumerate(self.classes):
             if service.deadline_us <= 0 or service.aim_us <= 0:
-                raise ValueError(f"classes[{at}]: aim_us and deadline_us must be above 0")
+                raise ValueError(f"classes[{index}]: aim_us and deadline_us must be above 0")
             if not service.width > 0 or not service.worth >= 0:
-                raise ValueError(f"classes[{at}]: width must be above 0 and worth not negative")
-        for at, tenant in enumerate(self.tenants):
+                raise ValueError(f"classes[{index}]: width must be above 0 and worth must not be negative")
+        for index, tenant in enumerate(self.tenants):
             if not tenant.quota_per_s >= 0:
-                raise ValueError(f"tenants[{at}].quota_per_s: must not be negative")
+                raise ValueError(f"tenants[{index}].quota_per_s: must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What a report says of a far exchange; None where it does not say."""
+    """A load report on a remote exchange; None where the report gives no value."""
 
-    free: float | None = None  # free circuits of the group towards it: true when told
+    free: float | None = None  # free circuits of the group towards it: exact when sent
     size: float | None = None  # circuits of that group
-    queue: float | None = None  # set-ups waiting at its processor
-    in_progress: float | None = None  # set-ups in work there
-    utilization: float | None = None  # share of the processor that is busy
-    wait_us: float | None = None  # the wait at its processor
-    capacity_per_s: float | None = None  # set-ups a second that it can take from all senders
-    hold_back: float | None = None  # share of set-ups that it asks every sender to hold back
+    queue: float | None = None  # set-ups queued at its processor
+    in_progress: float | None = None  # set-ups that its processor is handling
+    utilization: float | None = None  # of its processor, from 0 to 1
+    wait_us: float | None = None  # waiting time at its processor
+    capacity_per_s: float | None = None  # set-ups per second that it can take from all senders together
+    hold_back: float | None = None  # fraction of the set-ups that it asks every sender to hold back
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One exchange of the roster."""
+    """An exchange in the roster."""
 
-    exchange: str
+    exchange: str  # its name
     number: int
-    zone: int
-    kind: int = 0
+    zone: int  # -1: unknown
+    kind: int = 0  # type of its hardware
     readiness: Readiness = Readiness.READY
     weight: float = 1.0
-    started_us: int | None = None
+    started_us: int | None = None  # when its processor started; None: unknown, taken as warmed up
 
 
 @dataclass(frozen=True, slots=True)
 class RosterChange:
-    """News of the roster."""
+    """The roster has changed, or could not be obtained."""
 
     kind: RosterKind
     entries: tuple[Entry, ...] = ()
@@ -190,27 +193,27 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOffered:
-    """A call to set up: fresh from a subscriber here, or in transit."""
-
-    call: str
-    service: int
-    dest: int
-    number: str
-    deadline_us: int
-    width: float = 1.0
-    tenant: int = 0
+    """A call to set up, from a subscriber of the own exchange or in transit."""
+
+    call: str  # id of the call
+    service: int  # index into Settings.classes
+    dest: int  # number of the destination exchange
+    number: str  # the called number; empty: unknown
+    deadline_us: int  # absolute time at which the caller gives up
+    width: float = 1.0  # circuits that it takes
+    tenant: int = 0  # index into Settings.tenants
     transit: bool = False
-    via: int = -1  # advice on a tandem, or where a call in transit comes from
-    repeated: bool = False
-    cut_before: bool = False
-    # Groups of exchanges to which it may be sent, by number, the first before the second; None: any other.
+    via: int = -1  # recommended tandem, or the exchange from which a call in transit comes; -1: none
+    repeated: bool = False  # the caller has sent it before
+    cut_before: bool = False  # the caller returns after an established call was cut
+    # Route constraint: groups of exchange numbers in order of preference; None: any other exchange.
     tiers: tuple[frozenset[int] | None, ...] = ()  # empty: any
-    never: frozenset[int] = frozenset()  # and to which it may not
+    never: frozenset[int] = frozenset()  # excluded exchanges
 
 
 @dataclass(frozen=True, slots=True)
 class CallStands:
-    """A set-up was answered: the call holds its circuits until the attempt ends."""
+    """A set-up was answered: the call is established and holds its circuits until the attempt ends."""
 
     call: str
     attempt: int
@@ -220,39 +223,39 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt is over."""
+    """An attempt, or the established call that came of it, has ended."""
 
     call: str
-    attempt: int
+    attempt: int  # number of the attempt, from 0
     exchange: str
     outcome: Outcome
-    delay_us: int
-    settled: bool
+    delay_us: int  # since the set-up was sent
+    settled: bool  # the call needs no further answer
     cause: Cause = Cause.NONE
-    wait_us: int = 0  # a full processor's own word on how long to wait
+    wait_us: int = 0  # how long a full processor asks senders to wait
     load: Load = field(default_factory=Load)
 
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """The caller has left, or the answer is overdue."""
+    """The caller has given up, or the answer to it is overdue."""
 
     call: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer has come due."""
+    """A timer that was set with SetTimer has expired."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class GroupStatus:
-    """Free circuits of an own group have changed, or a probe was answered."""
+    """The free circuits of a group of the own exchange have changed, or a probe has ended."""
 
     exchange: str
-    ok: bool
+    ok: bool  # False: the exchange cannot be reached
     delay_us: int
     load: Load
 
@@ -271,7 +274,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
-    """Send a set-up: to the destination's exchange, or to another one as tandem."""
+    """Send a set-up to the destination exchange, or to another one as a tandem."""
 
     call: str
     exchange: str
@@ -280,10 +283,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: turned away (a call in transit: crankback)."""
+    """Final answer: the call is refused, or cranked back if it is in transit."""
 
     call: str
-    wait_us: int = 0
+    wait_us: int = 0  # how long the caller is asked to wait before the next attempt
 
 
 @dataclass(frozen=True, slots=True)
@@ -295,7 +298,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOff:
-    """Give up an attempt that is out."""
+    """Cancel a pending attempt."""
 
     call: str
     attempt: int
@@ -303,7 +306,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerDue at a time."""
+    """Request a TimerDue event at an absolute time."""
 
     token: str
     at_us: int
@@ -311,31 +314,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Test a far exchange."""
+    """Check whether a remote exchange responds."""
 
     exchange: str
 
 
 @dataclass(frozen=True, slots=True)
 class WatchRoster:
-    """Subscribe to the roster's changes."""
+    """Subscribe to changes of the roster."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchRoster:
-    """Ask once for the whole roster."""
+    """Request the complete roster once."""
 
 
 @dataclass(frozen=True, slots=True)
 class TellPeers:
-    """Send a short message to every other controller."""
+    """Send a short message to all other controllers."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """Write a log line for the operators."""
 
     text: str
 
