--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter: each message of the wire, what is malformed, and an exchange through the real process."""
+"""The adapter: the translation of every message, malformed input, and a call through the real process."""
 
 import io as text
 import json
@@ -43,21 +43,21 @@
               {"cmd": "MEMBERS", "form": "restored", "epoch": 1, "page": 0})
 
 
-def actions(reply: dict[str, Any], but: str = "DEFER") -> list[dict[str, Any]]:
-    return [a for g in reply["groups"] for a in g["actions"] if a["cmd"] != but]
+def actions(reply: dict[str, Any], ignored: str = "DEFER") -> list[dict[str, Any]]:
+    return [a for g in reply["groups"] for a in g["actions"] if a["cmd"] != ignored]
 
 
 def test_settings() -> None:
-    got = wirehost.read_settings(ENV)
-    assert (got.controllers, got.home, got.topology) == (3, 0, io.Topology.MESH)
-    assert got.classes[0] == io.ServiceClass(1500000, 9000000, 1.0, 0.25, 1, 9000000,
-                                             repeat_window_us=5000000)
-    assert got.classes[1].width == 3
-    assert got.classes[1].repeatability is io.Repeatability.GUARDED
-    assert got.classes[1].repeat_scope is io.RepeatScope.EXCHANGE
-    assert got.tenants == (io.Tenant(0.5, 12.0),)
-    assert (got.release_us, got.resend_us, got.cold_from, got.fall_us) == (500000, 250000, 0.3, 3000000)
-    assert got.may_message and got.may_call_off and got.callers_wait and not got.may_probe
+    result = wirehost.read_settings(ENV)
+    assert (result.controllers, result.home, result.topology) == (3, 0, io.Topology.MESH)
+    assert result.classes[0] == io.ServiceClass(1500000, 9000000, 1.0, 0.25, 1, 9000000,
+                                                repeat_window_us=5000000)
+    assert result.classes[1].width == 3
+    assert result.classes[1].repeatability is io.Repeatability.GUARDED
+    assert result.classes[1].repeat_scope is io.RepeatScope.EXCHANGE
+    assert result.tenants == (io.Tenant(0.5, 12.0),)
+    assert (result.release_us, result.resend_us, result.cold_from, result.fall_us) == (500000, 250000, 0.3, 3000000)
+    assert result.may_message and result.may_call_off and result.callers_wait and not result.may_probe
 
 
 @pytest.mark.parametrize(
@@ -99,9 +99,9 @@
     ],
 )
 def test_outcomes(code: int, why: int | None, outcome: io.Outcome, cause: io.Cause, wait_us: int) -> None:
-    got = wirehost.read_event({"cmd": "COMPLETED", "call": "c", "go": 0, "switch": "s", "outcome": code,
-                               "latencyUs": 9, "settled": False, "why": why, "healthInfo": {}})
-    assert got == io.AttemptEnded("c", 0, "s", outcome, 9, False, cause, wait_us, io.Load())
+    result = wirehost.read_event({"cmd": "COMPLETED", "call": "c", "go": 0, "switch": "s", "outcome": code,
+                                  "latencyUs": 9, "settled": False, "why": why, "healthInfo": {}})
+    assert result == io.AttemptEnded("c", 0, "s", outcome, 9, False, cause, wait_us, io.Load())
 
 
 def test_load_report() -> None:
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize(
-    ("action", "written"),
+    ("action", "expected"),
     [
         (io.SetUp("c", "s", 5), {"cmd": "TRY", "call": "c", "switch": "s", "allowForUs": 5}),
         (io.Refuse("c", 6), {"cmd": "BOUNCE", "call": "c", "notBeforeForUs": 6}),
@@ -126,8 +126,8 @@
         (io.Log("x"), {"cmd": "LOG", "bodyText": "x"}),
     ],
 )
-def test_actions(action: io.Action, written: dict[str, Any]) -> None:
-    assert wirehost.write_action(action) == written
+def test_actions(action: io.Action, expected: dict[str, Any]) -> None:
+    assert wirehost.write_action(action) == expected
 
 
 def run(*batches: dict[str, Any] | str) -> tuple[int, list[dict[str, Any]], str]:
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize(
-    ("message", "words"),
+    ("message", "expected_text"),
     [
         ({"cmd": "NOVELTY"}, "unknown message 'NOVELTY'"),
         ({k: v for k, v in REQUEST.items() if k != "call"}, "field call"),
@@ -150,15 +150,15 @@
         ({"cmd": "NEW_INSTANCE", "salt": 1, "env": {**ENV, "extra": {"topology": "ring"}}}, "topology"),
     ],
 )
-def test_malformed_message_is_named_and_not_guessed_at(message: dict[str, Any], words: str) -> None:
+def test_malformed_message_is_reported_and_answered_with_panic(message: dict[str, Any], expected_text: str) -> None:
     code, replies, err = run(START, batch(2, 2000000, message))
     assert code == 0
     assert [a["cmd"] for a in actions(replies[1])] == ["PANIC"]
-    assert err.count("\n") == 1 and "batch 2, proxy 5" in err and words in err
+    assert err.count("\n") == 1 and "batch 2, proxy 5" in err and expected_text in err
 
 
 @pytest.mark.parametrize("line", ["{", "[]", '{"n": 1}', '{"n": 1, "atTimeUs": 5, "groups": [3]}'])
-def test_malformed_line_ends_with_one_plain_line(line: str) -> None:
+def test_malformed_line_ends_the_process_with_one_error_line(line: str) -> None:
     code, replies, err = run(line)
     assert (code, replies) == (2, [])
     assert err.count("\n") == 1 and "Traceback" not in err
@@ -168,7 +168,7 @@
     assert run({"atTimeUs": 1, "n": 7, "groups": []}) == (0, [{"n": 7, "groups": []}], "")
 
 
-def test_instances_share_nothing_and_a_killed_one_is_silent() -> None:
+def test_instances_are_independent_and_a_killed_one_does_not_answer() -> None:
     other = batch(2, 1000000, *START["groups"][0]["msgs"], proxy=6)
     code, replies, err = run(START, other, batch(3, 1100000, {"cmd": "CRASH_NOW"}, REQUEST),
                              batch(4, 1100000, REQUEST, proxy=6))
@@ -177,13 +177,13 @@
     assert [a["cmd"] for a in actions(replies[3])] == ["TRY"]
 
 
-def test_unknown_list_is_passed_over() -> None:
+def test_unknown_roster_list_is_reported_and_ignored() -> None:
     code, replies, err = run(START, batch(2, 2000000, {"cmd": "MEMBERS", "form": "update", "page": 9}))
     assert code == 0 and actions(replies[1]) == [] and "page" in err
 
 
-def test_exchange_through_the_process() -> None:
-    """A call is set up, stands and ends; a second one finds the exchange gone."""
+def test_call_through_the_process() -> None:
+    """A call is set up, answered and released; a second one is refused, as its exchange is draining."""
     batches = [
         START,
         batch(2, 1005000, REQUEST),
@@ -194,16 +194,16 @@
         batch(5, 1505000, {"cmd": "POOL", "page": 1, "members": [{**MEMBERS[2], "readiness": "draining"}]},
               {"cmd": "MEMBERS", "form": "update", "epoch": 2, "page": 1}, {**REQUEST, "call": "c2"}),
     ]
-    done = subprocess.run([sys.executable, "-m", "ospreylug.wirehost"], cwd=ROOT, check=True, text=True,
-                          capture_output=True, input="".join(json.dumps(b) + "\n" for b in batches))
-    replies = [json.loads(line) for line in done.stdout.splitlines()]
+    completed = subprocess.run([sys.executable, "-m", "ospreylug.wirehost"], cwd=ROOT, check=True, text=True,
+                               capture_output=True, input="".join(json.dumps(b) + "\n" for b in batches))
+    replies = [json.loads(line) for line in completed.stdout.splitlines()]
     assert [r["n"] for r in replies] == [1, 2, 3, 4, 5]
     assert actions(replies[1]) == [{"cmd": "TRY", "call": "c1", "switch": "s2", "allowForUs": 1500000}]
     assert actions(replies[2]) == actions(replies[3]) == []
     (bounce,) = actions(replies[4])
     assert (bounce["cmd"], bounce["call"]) == ("BOUNCE", "c2")
     assert 495_000 <= bounce["notBeforeForUs"] < 1_495_000
-    assert done.stderr == ""
+    assert completed.stderr == ""
 
 
 def test_readme_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
