--- a/ospreylug/logic.py
+++ b/ospreylug/logic.py
@@ -16,11 +16,12 @@
 GRADING_PERIOD_US = 1_000_000  # the grade of every processor is updated once per period
 MAX_SAMPLING_PERIODS = 4  # periods over which a thin stream's samples accumulate, to reach MIN_SAMPLES
 HYSTERESIS = 0.1  # fraction by which the load has to pass a threshold before the grade changes
-W1_MULTIPLE, W2_MULTIPLE = 5.0, 10.0  # mean waits at the thresholds, in minimum delays; originally 4 and 8
+# Mean waits at the thresholds, in minimum delays. The original design had 4 and 8, but left them open.
+W1_MULTIPLE, W2_MULTIPLE = 5.0, 10.0
 MAX_W2_US = 500_000.0
 MAX_MIN_DELAY_US = MAX_W2_US / 2  # a higher minimum was learned during congestion; the limit keeps W1 < W2
 MIN_SAMPLES = 5  # delay samples needed before a grade may rise
-TRUNK_RESERVATION = 2.0  # circuits that transit and alternatively routed calls leave free; originally 1
+TRUNK_RESERVATION = 2.0  # circuits that transit and alternative-route calls leave free; at first 1 or more
 BUSY_NUMBER_BACKOFF_US = 1_000_000  # time without further calls to a number whose lines were all busy
 MAX_FURTHER_ATTEMPTS = 1  # after the first one that was sent; more attempts feed a congestion collapse
 MIN_SET_UP_TIMEOUT_US = 300_000
@@ -96,8 +97,8 @@
     def add_load_report(self, load: io.Load) -> None:
         """Add a load report as one more delay sample: in large networks a pair has few samples of its own.
 
-        Reports help thin streams. They may be late, noisy, frozen or absurd, so they are no source alone:
-        each comes with the end of a call, weighs no more than one delay, and its wait has an upper limit.
+        This helps thin streams. Reports can be late, noisy, frozen or absurd, so they are never the only
+        source: each comes with the end of a call and weighs no more than one delay, and its wait is limited.
         """
         min_delay_us = self.min_delays_us.get(self.entry.number)
         wait_us, queue, capacity, fraction = (v if v is not None and 0 <= v < math.inf else None for v in (
@@ -313,7 +314,7 @@
 
         Every set-up waits here first, so only a wait here slows even the fastest quarter of them; a few slow
         remote exchanges do not. In a large network no stream to one exchange has enough samples to be graded.
-        The cost: when most remote exchanges are slow at once, the own processor is taken for slow.
+        The cost is that the own processor is taken for slow when most remote exchanges are slow at once.
         """
         for state in self.exchanges.values():
             for call in (c for c in state.pending.values() if not state.is_answer_lost(c)):
@@ -365,8 +366,8 @@
     def _slow_start_gap_us(self, state: ExchangeState) -> int:
         """Return the minimum interval between set-ups to a cold processor; 0 once it has warmed up.
 
-        Protects it from overload: this controller's share of fall_multiple x cold_from x the rate observed at
-        warmed-up processors, spread evenly, so that unused capacity is not saved up for a burst.
+        This prevents overload. The rate is this controller's share: fall_multiple x cold_from x its observed
+        rate to warmed-up processors, spread evenly, so that unused capacity is not saved up for a burst.
         """
         settings, start_us = self.settings, state.entry.started_us
         if not start_us or self.now_us - start_us >= settings.cold_us or not settings.fall_us:
@@ -377,9 +378,9 @@
     def _is_throttled(self, state: ExchangeState) -> bool:
         """Whether no fresh set-up may be sent to this processor at present.
 
-        A processor whose grade fell for want of samples gets one set-up at a time until delays confirm LIGHT;
-        else all senders return at once and a slow one never answers in time. Handles hangs, stalls, cut links
-        and slow processors, remote or local. The cost: a recovered exchange fills up a period or two later.
+        If its grade fell for want of samples, it gets one set-up at a time until delays confirm LIGHT; else
+        all senders return at once and a slow one never answers in time. This handles hangs, stalls, cut links
+        and slowness, remote or local. The cost is that a recovered exchange fills up a period or two later.
         """
         if not state.is_confirmed and state.pending:
             return True
@@ -410,8 +411,8 @@
         """Count the call's aim from its caller's first attempt, and mark a redial after that aim as late.
 
         A late redial earns part of its worth and gives way. Calls for one number, class and tenant within the
-        deadline of the class count as one caller's. Handles overload, crowded numbers and callers who redial
-        at once. The cost: two callers of one number are taken for one.
+        deadline of the class count as one caller's. This handles overload, crowded numbers and immediate
+        redials. The cost is that two callers of one number are taken for one.
         """
         offer, now = call.offer, self.now_us
         key = (offer.number, offer.dest, offer.service, offer.tenant)
@@ -453,8 +454,8 @@
         """Queue the call for a circuit while it can still be answered in time; refuse it otherwise.
 
         A refusal would only make the caller redial, and every attempt costs processing. The call waits for
-        the direct group or, without one, for that to the remembered tandem. Handles full and reduced groups
-        and callers who redial at once. The cost: more calls are answered late in their time.
+        the direct group or, without one, for that to the remembered tandem. This handles full and reduced
+        groups and immediate redials. The cost is that more calls are answered late in their time.
         """
         number = dest.entry.number
         if dest.size == 0 or not self._is_allowed(call.offer, number):
@@ -500,8 +501,8 @@
     def _reserved_width(self, worth: float) -> float:
         """Return the circuits that a direct call of this worth leaves free: the width of a class worth more.
 
-        Trunk reservation by worth; protects wide and urgent calls in full groups, whatever filled them. Thin
-        groups reserve one circuit, as a wide class's width would be idle there most of the time.
+        This trunk reservation by worth protects wide and urgent calls in full groups, whatever filled them.
+        Thin groups reserve one circuit, as the width of a wide class would be idle there most of the time.
         """
         return max((s.width for s, w in zip(self.settings.classes, self.class_worths, strict=True)
                     if w > worth * RESERVATION_WORTH_RATIO), default=0.0)
@@ -582,7 +583,7 @@
         if state.free is not None:
             state.free -= offer.width
         # The timeout ends at the aim; the remote queue then drops the set-up, so that in a jam, hang or stall
-        # it holds only what is still worth serving. The cost: the partial worth of a late answer is lost.
+        # it holds only what is still worth serving. The cost is the partial worth of a late answer.
         aim_us = call.start_us + call.service.aim_us if call.is_late else call.aim_us
         until_us = max(aim_us, now + MIN_SET_UP_TIMEOUT_US)
         self.actions.append(io.SetUp(offer.call, state.entry.exchange, min(call.deadline_us, until_us) - now))
@@ -660,8 +661,8 @@
         """Route a call again after its set-up lost its connection; False when it is not retried any more.
 
         Neither exchange was full, only a connection failed: the same route may be used, after the release of
-        what may have been executed. Handles corrupt answers, resets and peers that closed. The cost: more
-        work for an exchange that breaks every set-up.
+        what may have been executed. This handles corrupt answers, resets and peers that closed. The cost is
+        more work for an exchange that breaks every set-up.
         """
         call.lost_connections += 1
         if call.lost_connections > MAX_CONNECTION_LOSS_ATTEMPTS or call.is_late:
@@ -683,7 +684,7 @@
 
         Crankbacks cost two processors and turn a full network into a jam. A tandem that refuses everything at
         once keeps its groups free and would attract ever more calls. The doubling learns which tandems have
-        no onward group. Handles reduced groups and cut links, too. The cost: it outlasts a short block.
+        no onward group, also after reductions and cut links. The cost is that it outlasts a short block.
         """
         remembered, blocks = (
             self.remembered_tandems.get(dest, []), self.tandem_backoffs.get((tandem, dest), (0, 0))[1])
@@ -719,7 +720,7 @@
 
         The wait ends after the period, spread over the next one: callers who are all given one instant return
         at one instant. A late redial waits as long as callers honour, because in overload every redial costs
-        the processors work. The cost: some of its partial worth is lost.
+        the processors work. The cost is some of its partial worth.
         """
         max_wait_us = self.settings.max_caller_wait_us if self.settings.callers_wait else 0
         wait_us = (self.period_end_us or self.now_us) - self.now_us + self.random.random() * GRADING_PERIOD_US
