--- a/tests/drivers.py
+++ b/tests/drivers.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import Any, cast
 
-from test_router import World
+from test_router import RouterHarness
 from twisted.internet.error import ConnectionDone
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
@@ -46,8 +46,8 @@
     """The SIP front on a clock of its own, before a router whose peers only take note."""
 
     def __init__(self, most: int = 100) -> None:
-        self.reactor, self.world, self.counts = Clock(), World(), Counter[str]()
-        self.front = CallerFront(self.world.router, Seconds(self.reactor), {"ledger-read": 0}, self.counts,
+        self.reactor, self.harness, self.counts = Clock(), RouterHarness(), Counter[str]()
+        self.front = CallerFront(self.harness.router, Seconds(self.reactor), {"ledger-read": 0}, self.counts,
                                  most)
 
     def connect(self) -> tuple[Any, Any]:
--- a/tests/test_call_front.py
+++ b/tests/test_call_front.py
@@ -7,7 +7,7 @@
 
 import pytest
 from drivers import Abortable, Seconds
-from test_router import World
+from test_router import RouterHarness
 from test_websocket_codec import SHAKE, frame
 from twisted.internet.task import Clock
 
@@ -18,7 +18,7 @@
 def connect() -> tuple[Clock, Session, Any]:
     """One socket, shaken hands with."""
     reactor, transport = Clock(), cast(Any, Abortable)()
-    front = CallFront(World().router, Seconds(reactor), {"ledger-read": 0}, Counter(), "/calls")
+    front = CallFront(RouterHarness().router, Seconds(reactor), {"ledger-read": 0}, Counter(), "/calls")
     session = cast(Any, front.buildProtocol(None))
     session.makeConnection(transport)
     session.dataReceived(SHAKE)
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("begun", [b"", SHAKE[:30], SHAKE + b"\x81", SHAKE + frame(0x01, b"{", masked=True)])
 def test_a_socket_that_stays_half_sent_is_closed_in_time(begun: bytes) -> None:
     reactor, transport = Clock(), cast(Any, Abortable)()
-    front = CallFront(World().router, Seconds(reactor), {"ledger-read": 0}, Counter(), "/calls")
+    front = CallFront(RouterHarness().router, Seconds(reactor), {"ledger-read": 0}, Counter(), "/calls")
     session = cast(Any, front.buildProtocol(None))
     session.makeConnection(transport)
     if begun:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -24,7 +24,7 @@
     """A connection on which a call was answered."""
     connection, transport = callers.connect()
     connection.dataReceived(invite(call))
-    callers.world.router.on_answered(callers.world.out[call], call, b"answer")
+    callers.harness.router.on_answered(callers.harness.peer_by_call[call], call, b"answer")
     return connection, transport
 
 
@@ -108,7 +108,7 @@
         new = callers.connect()
         assert victim[1].ended
         ended(victim[0])
-        new[0].dataReceived(invite(f"{len(callers.world.out) + 7:016x}"))
+        new[0].dataReceived(invite(f"{len(callers.harness.peer_by_call) + 7:016x}"))
     assert not busy[1].ended
     assert callers.front.buildProtocol(None) is None  # all have set-ups open: the new one is refused
     assert callers.counts["sip_connections_refused"] == 1
@@ -119,7 +119,7 @@
     connection, transport = callers.connect()
     connection.dataReceived(invite(ONE))
     callers.pass_time(0.3)
-    callers.world.router.on_answered(callers.world.out[ONE], ONE, b"answer")
+    callers.harness.router.on_answered(callers.harness.peer_by_call[ONE], ONE, b"answer")
     assert callers.front.buildProtocol(None) is None
     assert not transport.ended
     callers.pass_time(0.2)
@@ -177,7 +177,7 @@
     connection, transport = callers.connect()
     connection.dataReceived(invite(ONE, **bad))
     assert statuses(transport, ONE) in ([400], [500])
-    assert not callers.world.sent
+    assert not callers.harness.set_ups
 
 
 def test_the_id_of_an_open_call_from_another_connection_harms_neither_call_nor_caller() -> None:
@@ -188,7 +188,7 @@
     assert statuses(other_transport, ONE) == [400]
     other.dataReceived(sip.encode("CANCEL sip:5@net SIP/2.0", [("Call-ID", ONE), ("CSeq", "1 CANCEL")]))
     ended(other)
-    callers.world.router.on_answered(callers.world.out[ONE], ONE, b"answer")
+    callers.harness.router.on_answered(callers.harness.peer_by_call[ONE], ONE, b"answer")
     assert statuses(first_transport, ONE) == [200]
 
 
@@ -200,7 +200,7 @@
     connection.dataReceived(invite(ONE, body=b"another"))
     assert statuses(transport, ONE) == [503]
     assert transport.ended
-    assert ONE not in callers.world.router.calls
+    assert ONE not in callers.harness.router.calls
 
 
 @pytest.mark.parametrize("head", [
@@ -224,7 +224,7 @@
     mute, mute_transport = callers.connect()
     mute.dataReceived(PING)
     ended(own)
-    callers.world.router.on_ended(callers.world.out[ONE], ONE, AttemptEnd(io.Outcome.OK))
+    callers.harness.router.on_ended(callers.harness.peer_by_call[ONE], ONE, AttemptEnd(io.Outcome.OK))
     assert releases(other_transport) == [ONE]
     assert not releases(mute_transport) + releases(own_transport)
 
@@ -233,7 +233,7 @@
     callers = Callers()
     first, first_transport = stands(callers)
     _, other_transport = stands(callers, TWO)
-    callers.world.router.on_ended(callers.world.out[ONE], ONE, AttemptEnd(io.Outcome.OK))
+    callers.harness.router.on_ended(callers.harness.peer_by_call[ONE], ONE, AttemptEnd(io.Outcome.OK))
     callers.pass_time(1)
     assert releases(first_transport) == [ONE]  # no caller has ever said so: it need not
     assert not callers.front.releases
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from hypothesis.stateful import invariant
-from test_router import Calls, World
+from test_router import Calls, RouterHarness
 
 from astertrack.core import Approval, FinalResult, Refusal, Request, RouteConstraint
 from astertrack.parts.versions import PlanPolicy
@@ -82,88 +82,89 @@
 def test_the_first_refusal_stands_and_earlier_policies_are_told_that_it_is_over() -> None:
     first, second = book(Approval(), name="first"), book(Approval(), Refusal("why", 5), name="second")
     third = book(Approval(), name="third")
-    world = World((first, second, third))
-    world.offer("a")
-    world.offer("b")
-    assert world.sent == [("x1", "a")]
-    assert (world.finals["b"], world.waits["b"]) == (1, 5)
+    harness = RouterHarness((first, second, third))
+    harness.offer("a")
+    harness.offer("b")
+    assert harness.set_ups == [("x1", "a")]
+    assert (harness.finals["b"], harness.waits["b"]) == (1, 5)
     assert (first.finals["b"], first.overs["b"], third.admitted) == (1, 1, ["a"])
-    assert world.router.counts["gate_refused_second_why"] == 1
+    assert harness.router.counts["gate_refused_second_why"] == 1
     first.order.clear()
-    world.router.on_answered("x1", "a", b"theirs")
+    harness.router.on_answered("x1", "a", b"theirs")
     assert first.order == ["first final"]
-    world.peer_ends("a", io.Outcome.OK)
+    harness.peer_ends("a", io.Outcome.OK)
     assert first.order == ["first final", "first over"]
 
 
 def test_a_policy_resolves_the_destination_for_those_after_it_and_for_the_module() -> None:
     seen: list[int] = []
     later = Book(lambda request: seen.append(request.dest))
-    world = World((book(Approval(dest=2)), later))
-    world.offer("a", dest=1)
-    assert world.sent == [("x2", "a")]
+    harness = RouterHarness((book(Approval(dest=2)), later))
+    harness.offer("a", dest=1)
+    assert harness.set_ups == [("x2", "a")]
     assert seen == [2]
-    assert world.router.calls["a"].request.dest == 2
+    assert harness.router.calls["a"].request.dest == 2
 
 
 def test_a_narrowed_call_goes_over_the_first_tier_that_has_room_and_never_elsewhere() -> None:
-    world = World((book(Approval(constraint=RouteConstraint((frozenset({3}), frozenset({2})), frozenset({1})))),))
-    world.offer("a", dest=1)
-    assert world.sent == [("x3", "a")]
-    world.peer_ends("a", io.Outcome.TURNED_AWAY, io.Cause.CRANKBACK)
-    assert world.sent[-1] == ("x2", "a")
-    world.peer_ends("a", io.Outcome.TURNED_AWAY, io.Cause.CRANKBACK)
-    world.pass_time(3 * SECOND)
-    assert world.finals["a"] == 1
-    assert {peer for peer, _ in world.sent} == {"x2", "x3"}
+    constraint = RouteConstraint((frozenset({3}), frozenset({2})), frozenset({1}))
+    harness = RouterHarness((book(Approval(constraint=constraint)),))
+    harness.offer("a", dest=1)
+    assert harness.set_ups == [("x3", "a")]
+    harness.peer_ends("a", io.Outcome.TURNED_AWAY, io.Cause.CRANKBACK)
+    assert harness.set_ups[-1] == ("x2", "a")
+    harness.peer_ends("a", io.Outcome.TURNED_AWAY, io.Cause.CRANKBACK)
+    harness.pass_time(3 * SECOND)
+    assert harness.finals["a"] == 1
+    assert {peer for peer, _ in harness.set_ups} == {"x2", "x3"}
 
 
 def test_a_call_that_may_go_nowhere_is_refused_at_once() -> None:
-    world = World((book(Approval(constraint=RouteConstraint((frozenset(),)))),))
-    world.offer("a")
-    assert (world.finals["a"], world.sent) == (1, [])
+    harness = RouterHarness((book(Approval(constraint=RouteConstraint((frozenset(),)))),))
+    harness.offer("a")
+    assert (harness.finals["a"], harness.set_ups) == (1, [])
 
 
 def test_calls_that_may_not_go_direct_do_not_stand_in_the_way_of_those_that_wait_for_the_direct_group() -> None:
-    world = World((book(Approval(constraint=RouteConstraint((frozenset({2}),))), Approval()),))
+    harness = RouterHarness((book(Approval(constraint=RouteConstraint((frozenset({2}),))), Approval()),))
     for peer in ("x1", "x2", "x3"):
-        world.router.on_group_state(peer, io.Load(free=0.0, size=20.0))
-    world.offer("round")
-    world.offer("direct")
-    world.router.on_group_state("x1", io.Load(free=1.0, size=20.0))
-    assert world.sent == [("x1", "direct")]
-    assert world.finals["direct"] == 0
+        harness.router.on_group_state(peer, io.Load(free=0.0, size=20.0))
+    harness.offer("round")
+    harness.offer("direct")
+    harness.router.on_group_state("x1", io.Load(free=1.0, size=20.0))
+    assert harness.set_ups == [("x1", "direct")]
+    assert harness.finals["direct"] == 0
 
 
 def test_the_last_word_at_the_moment_of_sending_is_the_policies() -> None:
     shut = book(Approval())
     shut.shut = {1}
-    world = World((shut,))
-    world.offer("a")
-    assert all(peer != "x1" for peer, _ in world.sent)
-    assert world.router.counts["attempts_moot_here"] >= 1
-    assert shut.sents == [("a", int(peer[1:])) for peer, _ in world.sent]
+    harness = RouterHarness((shut,))
+    harness.offer("a")
+    assert all(peer != "x1" for peer, _ in harness.set_ups)
+    assert harness.router.counts["attempts_moot_here"] >= 1
+    assert shut.sents == [("a", int(peer[1:])) for peer, _ in harness.set_ups]
 
 
 @pytest.mark.parametrize("shut", [False, True])
 def test_a_fault_in_a_policy_costs_no_call_its_answer(shut: bool) -> None:
-    world = World((Faulty(lambda request: None, shut=shut), book(Approval())))
-    world.offer("a")
-    assert world.router.counts["gate_faults"] >= 1
+    harness = RouterHarness((Faulty(lambda request: None, shut=shut), book(Approval())))
+    harness.offer("a")
+    assert harness.router.counts["gate_faults"] >= 1
     if shut:
-        assert world.waits["a"] > 0
+        assert harness.waits["a"] > 0
     else:
-        world.router.on_answered("x1", "a", b"theirs")
-        assert world.finals["a"] == 1
+        harness.router.on_answered("x1", "a", b"theirs")
+        assert harness.finals["a"] == 1
 
 
 def test_a_fault_while_a_call_is_told_of_leaves_the_others_told() -> None:
     faulty, sound = book(Approval()), book(Approval())
-    world = World((sound, faulty))
-    world.offer("a")
+    harness = RouterHarness((sound, faulty))
+    harness.offer("a")
     faulty.final = lambda *values: 1 / 0  # type: ignore[method-assign,assignment]
-    world.router.on_answered("x1", "a", b"theirs")
-    assert (sound.finals["a"], world.router.counts["gate_faults"]) == (1, 1)
+    harness.router.on_answered("x1", "a", b"theirs")
+    assert (sound.finals["a"], harness.router.counts["gate_faults"]) == (1, 1)
 
 
 @given(NARROWINGS, NARROWINGS, st.integers(0, 4))
@@ -174,7 +175,7 @@
 class NarrowedCalls(Calls):
     """The same random steps through two policies that resolve, narrow and refuse at random."""
 
-    def make_world(self) -> World:
+    def make_harness(self) -> RouterHarness:
         draw = random.Random(5)
 
         def verdict(request: Request) -> Approval | Refusal | None:
@@ -187,16 +188,16 @@
             return Approval(draw.choice([None, None, 2]), constraint)
         self.narrowings: dict[str, list[RouteConstraint]] = {}
         self.books = [Book(verdict, "one"), Book(verdict, "two")]
-        return World(self.books)
+        return RouterHarness(self.books)
 
     @invariant()
     def what_policies_say_holds_and_they_are_told_once(self) -> None:
         """Whatever came before."""
-        for peer, call in self.world.sent:
+        for peer, call in self.harness.set_ups:
             assert all(constraint.permits(int(peer[1:])) for constraint in self.narrowings.get(call, []))
         for policy in self.books:
             admitted = set(policy.admitted)
-            in_hand = set(self.world.router.calls)
+            in_hand = set(self.harness.router.calls)
             assert all(policy.overs[call] == (call not in in_hand) for call in admitted)
             assert all(policy.finals[call] <= 1 for call in admitted)
             assert all(policy.finals[call] == 1 for call in admitted - in_hand)
@@ -209,13 +210,13 @@
 # ---- the plan at the gate
 
 
-def planned(*plans: Plan) -> tuple[World, Versions, PlanPolicy]:
-    """A world with a plan policy, and the first plan in force."""
+def planned(*plans: Plan) -> tuple[RouterHarness, Versions, PlanPolicy]:
+    """A harness with a plan policy, and the first plan in force."""
     versions = Versions(Rules("n1", "z", 0), random.Random(1))
     policy = PlanPolicy(versions, Desk("z", 0, random.Random(1)))
-    world = World((policy,))
-    versions.restore(VersionId(1, 1), plans[0], world.now)
-    return world, versions, policy
+    harness = RouterHarness((policy,))
+    versions.restore(VersionId(1, 1), plans[0], harness.now)
+    return harness, versions, policy
 
 
 def plan(*records: Any) -> Plan:
@@ -224,59 +225,59 @@
 
 
 def test_a_version_in_force_exactly_at_a_calls_deadline_leaves_it_its_one_answer() -> None:
-    world, versions, _ = planned(plan(Prefix("5", 1)))
-    world.offer("a", wait_us=3 * SECOND)
+    harness, versions, _ = planned(plan(Prefix("5", 1)))
+    harness.offer("a", wait_us=3 * SECOND)
     later = plan(Prefix("5", 2))
-    sent = make_document(VersionId(1, 2), later.records(), later.state, in_force_ms=(world.now + 3 * SECOND) // 1000)
-    versions.header(write_header(sent.header), world.now)
+    sent = make_document(VersionId(1, 2), later.records(), later.state, in_force_ms=(harness.now + 3 * SECOND) // 1000)
+    versions.header(write_header(sent.header), harness.now)
     versions.lines(list(sent.lines))
-    versions.end(world.now)
-    while versions.work(world.now):
+    versions.end(harness.now)
+    while versions.work(harness.now):
         pass
-    world.call_at(world.now + 3 * SECOND, lambda: versions.tick(world.now))
-    deadline = world.now + 3 * SECOND
-    world.pass_time(deadline - world.now - 1)
-    world.offer("before", wait_us=SECOND)
-    world.pass_time(1)
-    world.offer("at", wait_us=SECOND)
-    assert world.finals["a"] == 1
-    assert [world.router.calls[c].label for c in ("before", "at")] == ["1.1", "1.2"]
-    world.pass_time(5 * SECOND)
-    assert world.finals == {"a": 1, "before": 1, "at": 1}
-    assert {r.call: r.version for r in world.records} == {"a": "1.1", "before": "1.1", "at": "1.2"}
+    harness.call_at(harness.now + 3 * SECOND, lambda: versions.tick(harness.now))
+    deadline = harness.now + 3 * SECOND
+    harness.pass_time(deadline - harness.now - 1)
+    harness.offer("before", wait_us=SECOND)
+    harness.pass_time(1)
+    harness.offer("at", wait_us=SECOND)
+    assert harness.finals["a"] == 1
+    assert [harness.router.calls[c].label for c in ("before", "at")] == ["1.1", "1.2"]
+    harness.pass_time(5 * SECOND)
+    assert harness.finals == {"a": 1, "before": 1, "at": 1}
+    assert {r.call: r.version for r in harness.records} == {"a": "1.1", "before": "1.1", "at": "1.2"}
 
 
 def test_a_call_waiting_to_be_tried_again_keeps_its_version_though_the_new_one_has_no_such_exchange() -> None:
-    world, versions, policy = planned(plan(Choice(1, over=[[2]], any_tandem=False)))
-    world.offer("a", dest=1)
-    world.peer_ends("a", io.Outcome.CUT)  # its set-up broke: it waits 300 ms for the release
-    versions.restore(VersionId(1, 2), build(iter([Exchange(0), Exchange(3)])), world.now)
-    world.pass_time(SECOND)
-    assert world.sent == [("x1", "a"), ("x1", "a")]
-    world.router.on_answered("x1", "a", b"theirs")
-    assert (world.finals["a"], world.router.calls["a"].label) == (1, "1.1")
+    harness, versions, policy = planned(plan(Choice(1, over=[[2]], any_tandem=False)))
+    harness.offer("a", dest=1)
+    harness.peer_ends("a", io.Outcome.CUT)  # its set-up broke: it waits 300 ms for the release
+    versions.restore(VersionId(1, 2), build(iter([Exchange(0), Exchange(3)])), harness.now)
+    harness.pass_time(SECOND)
+    assert harness.set_ups == [("x1", "a"), ("x1", "a")]
+    harness.router.on_answered("x1", "a", b"theirs")
+    assert (harness.finals["a"], harness.router.calls["a"].label) == (1, "1.1")
     assert policy.versions.in_force is not None
-    world.peer_ends("a", io.Outcome.OK)
-    assert not world.router.calls
+    harness.peer_ends("a", io.Outcome.OK)
+    assert not harness.router.calls
 
 
 def test_limits_are_free_again_however_a_call_ends() -> None:
-    world, _, policy = planned(plan(Limit("one", in_hand=1)))
+    harness, _, policy = planned(plan(Limit("one", in_hand=1)))
     for end in ("cancel", "refused", "timeout", "hang up", "ended"):
-        world.offer(end)
+        harness.offer(end)
         assert policy.desk.in_hand["one"] == 1
-        world.offer(f"{end} too")
-        assert world.waits[f"{end} too"] > 0
+        harness.offer(f"{end} too")
+        assert harness.waits[f"{end} too"] > 0
         if end == "cancel":
-            world.router.cancel(end)
+            harness.router.cancel(end)
         elif end == "refused":
-            world.peer_ends(end, io.Outcome.NUMBER_FAULT)
+            harness.peer_ends(end, io.Outcome.NUMBER_FAULT)
         elif end == "timeout":
-            world.pass_time(4 * SECOND)
+            harness.pass_time(4 * SECOND)
         else:
-            world.router.on_answered(world.out[end], end, b"theirs")
+            harness.router.on_answered(harness.peer_by_call[end], end, b"theirs")
             if end == "ended":
-                world.peer_ends(end, io.Outcome.OK)
+                harness.peer_ends(end, io.Outcome.OK)
             else:
-                world.router.release_call(end, 16)
+                harness.router.release_call(end, 16)
         assert not policy.desk.in_hand
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,7 +9,7 @@
 from drivers import Abortable, Seconds, ended
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from test_router import World
+from test_router import RouterHarness
 from twisted.internet.error import ConnectionLost, ConnectionRefusedError, TimeoutError
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
@@ -46,8 +46,8 @@
     """One peer behind a router whose other ports only take note; the table is the router's own."""
 
     def __init__(self) -> None:
-        self.world, self.reactor, self.counts = World(), Dials(), Counter[str]()
-        self.router = self.world.router
+        self.harness, self.reactor, self.counts = RouterHarness(), Dials(), Counter[str]()
+        self.router = self.harness.router
         self.router.peers = self.table = PeerTable(self.make, 0, Seconds(self.reactor))
         self.router.set_roster(io.RosterChange(io.RosterKind.REPLACE, (io.Entry("x1", 1, 0),)))
         self.transports: list[Any] = []
@@ -73,7 +73,7 @@
 
     def place(self, call: str) -> None:
         """Offer a call to this peer's number."""
-        self.world.offer(call)
+        self.harness.offer(call)
 
     def says(self, kind: int, call: str, parameters: dict[int, bytes]) -> None:
         """The peer sends a message."""
@@ -92,7 +92,7 @@
         """Let time pass on both clocks."""
         for _ in range(us // 50_000):
             self.reactor.advance(0.05)
-            self.world.pass_time(50_000)
+            self.harness.pass_time(50_000)
 
 
 def peer_up(*calls: str) -> Peer:
@@ -121,14 +121,14 @@
     assert peer.router.counts["attempts_cut"] == 2
     peer.answers(ONE)  # behind the spoilt one: it no longer counts
     ended(peer.up)
-    assert not peer.world.finals
+    assert not peer.harness.finals
     assert peer.router.counts["attempts_cut"] == 2
     peer.connect()  # at once, and what may stand unheard is released before anything else
     assert sorted(peer.heard()) == [(wire.Type.RELEASE, ONE), (wire.Type.RELEASE, TWO)]
     peer.pass_time(350_000)
     assert sorted(peer.heard())[:2] == [(wire.Type.SET_UP, ONE), (wire.Type.SET_UP, TWO)]
     peer.answers(ONE)
-    assert peer.world.answers == {ONE: "answer"}
+    assert peer.harness.answers == {ONE: "answer"}
 
 
 def test_a_message_that_stops_short_ends_its_connection_and_one_that_goes_on_does_not() -> None:
@@ -137,7 +137,7 @@
     peer.up.dataReceived(whole[:9])
     peer.pass_time(PARTIAL_US - 50_000)
     peer.up.dataReceived(whole[9:] + whole[:3])
-    assert peer.world.answers == {ONE: "answer"}
+    assert peer.harness.answers == {ONE: "answer"}
     peer.pass_time(PARTIAL_US - 50_000)
     assert not peer.transports[0].aborted
     peer.pass_time(100_000)
@@ -154,7 +154,7 @@
     state = wire.encode(wire.Message(wire.Type.GROUP_STATE, "0" * 16, {wire.Code.REPORT: b"x0:12;x1:40;eps:0"}))
     for data in (cut, state) if apart else (cut + state,):
         peer.up.dataReceived(data)
-    assert not peer.world.finals
+    assert not peer.harness.finals
     assert peer.transports[0].aborted
     assert peer.counts["peer_swallowed"] + peer.counts["peer_malformed"] == 1
 
@@ -163,7 +163,7 @@
     peer = peer_up(ONE)
     peer.router.calls[ONE].request.description = b"\0binary"
     peer.up.dataReceived(wire.encode(wire.Message(wire.Type.ANSWER, ONE, {wire.Code.DESCRIPTION: b"\0\1theirs"})))
-    assert peer.world.finals == {ONE: 1}
+    assert peer.harness.finals == {ONE: 1}
     assert not peer.transports[0].aborted
 
 
@@ -172,7 +172,7 @@
     peer.answers("f" * 16)
     peer.answers(ONE)
     peer.answers(ONE)
-    assert peer.world.finals == {ONE: 1}
+    assert peer.harness.finals == {ONE: 1}
     assert not peer.transports[0].aborted
 
 
@@ -181,14 +181,14 @@
     peer.answers(ONE)
     peer.pass_time(1_000_000)
     peer.up.connectionLost(cast(Any, Failure)(ConnectionLost()))
-    assert not peer.world.over
+    assert not peer.harness.caller_releases
     peer.fail(TimeoutError)
     peer.pass_time(REDIAL_US + 50_000)
     peer.fail(ConnectionRefusedError)
-    assert not peer.world.over
+    assert not peer.harness.caller_releases
     peer.pass_time(REDIAL_US + 50_000)
     peer.fail(ConnectionRefusedError)
-    assert peer.world.over == {ONE: 1}
+    assert peer.harness.caller_releases == {ONE: 1}
 
 
 def test_nothing_is_written_on_a_connection_that_was_given_up() -> None:
@@ -219,9 +219,9 @@
 
 def test_a_set_up_that_a_message_cannot_hold_fails_and_harms_no_other() -> None:
     peer = peer_up()
-    request = Request(ONE, 0, "ledger-read", 1, "5", peer.world.now + 3_000_000, b"x" * 16_380)
-    peer.router.offer(request, cast(Any, peer.world))
-    assert peer.world.finals == {ONE: 1}
+    request = Request(ONE, 0, "ledger-read", 1, "5", peer.harness.now + 3_000_000, b"x" * 16_380)
+    peer.router.offer(request, cast(Any, peer.harness))
+    assert peer.harness.finals == {ONE: 1}
     peer.place(TWO)
     assert peer.heard() == [(wire.Type.SET_UP, TWO)]
 
@@ -240,9 +240,9 @@
     peer.connect()  # another connection, which says nothing either
     peer.pass_time(SILENT_US + 2 * WATCH_US)
     assert peer.transports[1].aborted
-    assert not peer.world.over  # it may still come back, and the call with it
+    assert not peer.harness.caller_releases  # it may still come back, and the call with it
     peer.pass_time(LOST_US - 2 * SILENT_US)
-    assert peer.world.over == {ONE: 1}
+    assert peer.harness.caller_releases == {ONE: 1}
     assert LOST_US + 2 * WATCH_US < 8_000_000
     peer.connect()
     assert (wire.Type.RELEASE, ONE) in peer.heard()  # cut off, not dead: its circuits are freed there
@@ -308,7 +308,7 @@
         assert out == link.open | set(link.waiting)
         assert not link.open & set(link.waiting)
         assert not link.open or link.connection is not None
-        assert all(count == 1 for count in self.peer.world.finals.values())
+        assert all(count == 1 for count in self.peer.harness.finals.values())
         assert link.connection is not None or link._dialling is not None or link._redial is not None
         assert len(link.owed) <= self.calls
 
