--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate: what policies may do to a call, and what they are told of it, whatever else happens."""
+"""The admission gate: what policies may do to a call, and which of its events they are notified of in every case."""
 
 from __future__ import annotations
 
@@ -23,49 +23,49 @@
 
 Verdict = Callable[[Request], Approval | Refusal | None]
 TIERS = st.lists(st.none() | st.frozensets(st.integers(0, 4), max_size=3), max_size=3).map(tuple)
-NARROWINGS = st.builds(RouteConstraint, TIERS, st.frozensets(st.integers(0, 4), max_size=2))
+CONSTRAINTS = st.builds(RouteConstraint, TIERS, st.frozensets(st.integers(0, 4), max_size=2))
 
 
-class Book:
-    """A policy that does as it is told and keeps a book."""
+class RecordingPolicy:
+    """A policy whose verdicts a function supplies, and that records every notification."""
 
-    def __init__(self, verdict: Verdict, name: str = "book", shut: bool = False) -> None:
-        self.verdict, self.name, self.fail_closed = verdict, name, shut
+    def __init__(self, verdict: Verdict, name: str = "recording", fail_closed: bool = False) -> None:
+        self.verdict, self.name, self.fail_closed = verdict, name, fail_closed
         self.admitted: list[str] = []
-        self.finals: Counter[str] = Counter()
-        self.overs: Counter[str] = Counter()
-        self.sents: list[tuple[str, int]] = []
-        self.shut: set[int] = set()
-        self.order: list[str] = []
+        self.final_counts: Counter[str] = Counter()
+        self.end_counts: Counter[str] = Counter()
+        self.sent_set_ups: list[tuple[str, int]] = []
+        self.blocked_exchanges: set[int] = set()
+        self.notifications: list[str] = []
 
     def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
-        """Do as told."""
+        """Return the supplied verdict, and record an admitted call."""
         verdict = self.verdict(request)
         if isinstance(verdict, Approval):
             self.admitted.append(request.call)
         return verdict
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
-        """Do as told."""
-        return entry.number not in self.shut
+        """Permit every exchange that is not blocked."""
+        return entry.number not in self.blocked_exchanges
 
     def sent(self, token: object, request: Request, entry: io.Entry, now_us: int) -> None:
-        """Keep it."""
-        self.sents.append((request.call, entry.number))
+        """Record the set-up."""
+        self.sent_set_ups.append((request.call, entry.number))
 
     def final(self, token: object, request: Request, final: FinalResult, now_us: int) -> None:
-        """Keep it."""
-        self.finals[request.call] += 1
-        self.order.append(f"{self.name} final")
+        """Count the final result of the call."""
+        self.final_counts[request.call] += 1
+        self.notifications.append(f"{self.name} final")
 
     def over(self, token: object, request: Request, now_us: int) -> None:
-        """Keep it."""
-        self.overs[request.call] += 1
-        self.order.append(f"{self.name} over")
+        """Count the end of the call."""
+        self.end_counts[request.call] += 1
+        self.notifications.append(f"{self.name} over")
 
 
-class Faulty(Book):
-    """A policy that fails in all it does."""
+class FaultyPolicy(RecordingPolicy):
+    """A policy that raises an exception in every method."""
 
     def __getattribute__(self, name: str) -> Any:
         if name in ("admit", "permits", "sent", "final", "over"):
@@ -73,42 +73,44 @@
         return super().__getattribute__(name)
 
 
-def book(*verdicts: Approval | Refusal | None, name: str = "book", shut: bool = False) -> Book:
-    """A policy that says these, one after the other, the last for ever."""
-    left = list(verdicts)
-    return Book(lambda request: left.pop(0) if len(left) > 1 else left[0], name, shut)
+def scripted_policy(*verdicts: Approval | Refusal | None, name: str = "scripted",
+                    fail_closed: bool = False) -> RecordingPolicy:
+    """A policy that returns these verdicts in order, and then the last one for every further call."""
+    remaining = list(verdicts)
+    return RecordingPolicy(lambda request: remaining.pop(0) if len(remaining) > 1 else remaining[0], name, fail_closed)
 
 
-def test_the_first_refusal_stands_and_earlier_policies_are_told_that_it_is_over() -> None:
-    first, second = book(Approval(), name="first"), book(Approval(), Refusal("why", 5), name="second")
-    third = book(Approval(), name="third")
+def test_the_first_refusal_decides_and_earlier_policies_are_notified_of_the_end() -> None:
+    first = scripted_policy(Approval(), name="first")
+    second = scripted_policy(Approval(), Refusal("why", 5), name="second")
+    third = scripted_policy(Approval(), name="third")
     harness = RouterHarness((first, second, third))
     harness.offer("a")
     harness.offer("b")
     assert harness.set_ups == [("x1", "a")]
     assert (harness.finals["b"], harness.waits["b"]) == (1, 5)
-    assert (first.finals["b"], first.overs["b"], third.admitted) == (1, 1, ["a"])
+    assert (first.final_counts["b"], first.end_counts["b"], third.admitted) == (1, 1, ["a"])
     assert harness.router.counts["gate_refused_second_why"] == 1
-    first.order.clear()
+    first.notifications.clear()
     harness.router.on_answered("x1", "a", b"theirs")
-    assert first.order == ["first final"]
+    assert first.notifications == ["first final"]
     harness.peer_ends("a", io.Outcome.OK)
-    assert first.order == ["first final", "first over"]
+    assert first.notifications == ["first final", "first over"]
 
 
-def test_a_policy_resolves_the_destination_for_those_after_it_and_for_the_module() -> None:
-    seen: list[int] = []
-    later = Book(lambda request: seen.append(request.dest))
-    harness = RouterHarness((book(Approval(dest=2)), later))
+def test_a_policy_resolves_the_destination_for_later_policies_and_for_the_module() -> None:
+    seen_destinations: list[int] = []
+    later = RecordingPolicy(lambda request: seen_destinations.append(request.dest))
+    harness = RouterHarness((scripted_policy(Approval(dest=2)), later))
     harness.offer("a", dest=1)
     assert harness.set_ups == [("x2", "a")]
-    assert seen == [2]
+    assert seen_destinations == [2]
     assert harness.router.calls["a"].request.dest == 2
 
 
-def test_a_narrowed_call_goes_over_the_first_tier_that_has_room_and_never_elsewhere() -> None:
+def test_a_constrained_call_uses_the_first_tier_with_free_circuits_and_no_other_exchange() -> None:
     constraint = RouteConstraint((frozenset({3}), frozenset({2})), frozenset({1}))
-    harness = RouterHarness((book(Approval(constraint=constraint)),))
+    harness = RouterHarness((scripted_policy(Approval(constraint=constraint)),))
     harness.offer("a", dest=1)
     assert harness.set_ups == [("x3", "a")]
     harness.peer_ends("a", io.Outcome.TURNED_AWAY, io.Cause.CRANKBACK)
@@ -119,99 +121,101 @@
     assert {peer for peer, _ in harness.set_ups} == {"x2", "x3"}
 
 
-def test_a_call_that_may_go_nowhere_is_refused_at_once() -> None:
-    harness = RouterHarness((book(Approval(constraint=RouteConstraint((frozenset(),)))),))
+def test_a_call_without_any_permitted_exchange_is_refused_at_once() -> None:
+    harness = RouterHarness((scripted_policy(Approval(constraint=RouteConstraint((frozenset(),)))),))
     harness.offer("a")
     assert (harness.finals["a"], harness.set_ups) == (1, [])
 
 
-def test_calls_that_may_not_go_direct_do_not_stand_in_the_way_of_those_that_wait_for_the_direct_group() -> None:
-    harness = RouterHarness((book(Approval(constraint=RouteConstraint((frozenset({2}),))), Approval()),))
+def test_queued_calls_barred_from_the_direct_group_do_not_block_those_that_may_use_it() -> None:
+    harness = RouterHarness((scripted_policy(Approval(constraint=RouteConstraint((frozenset({2}),))), Approval()),))
     for peer in ("x1", "x2", "x3"):
         harness.router.on_group_state(peer, io.Load(free=0.0, size=20.0))
-    harness.offer("round")
+    harness.offer("indirect")
     harness.offer("direct")
     harness.router.on_group_state("x1", io.Load(free=1.0, size=20.0))
     assert harness.set_ups == [("x1", "direct")]
     assert harness.finals["direct"] == 0
 
 
-def test_the_last_word_at_the_moment_of_sending_is_the_policies() -> None:
-    shut = book(Approval())
-    shut.shut = {1}
-    harness = RouterHarness((shut,))
+def test_policies_decide_last_when_a_set_up_is_sent() -> None:
+    blocking = scripted_policy(Approval())
+    blocking.blocked_exchanges = {1}
+    harness = RouterHarness((blocking,))
     harness.offer("a")
     assert all(peer != "x1" for peer, _ in harness.set_ups)
     assert harness.router.counts["attempts_moot_here"] >= 1
-    assert shut.sents == [("a", int(peer[1:])) for peer, _ in harness.set_ups]
+    assert blocking.sent_set_ups == [("a", int(peer[1:])) for peer, _ in harness.set_ups]
 
 
-@pytest.mark.parametrize("shut", [False, True])
-def test_a_fault_in_a_policy_costs_no_call_its_answer(shut: bool) -> None:
-    harness = RouterHarness((Faulty(lambda request: None, shut=shut), book(Approval())))
+@pytest.mark.parametrize("fail_closed", [False, True])
+def test_a_fault_in_a_policy_leaves_the_call_its_answer(fail_closed: bool) -> None:
+    harness = RouterHarness((FaultyPolicy(lambda request: None, fail_closed=fail_closed), scripted_policy(Approval())))
     harness.offer("a")
     assert harness.router.counts["gate_faults"] >= 1
-    if shut:
+    if fail_closed:
         assert harness.waits["a"] > 0
     else:
         harness.router.on_answered("x1", "a", b"theirs")
         assert harness.finals["a"] == 1
 
 
-def test_a_fault_while_a_call_is_told_of_leaves_the_others_told() -> None:
-    faulty, sound = book(Approval()), book(Approval())
-    harness = RouterHarness((sound, faulty))
+def test_a_fault_in_one_notification_does_not_keep_it_from_other_policies() -> None:
+    faulty, healthy = scripted_policy(Approval()), scripted_policy(Approval())
+    harness = RouterHarness((healthy, faulty))
     harness.offer("a")
     faulty.final = lambda *values: 1 / 0  # type: ignore[method-assign,assignment]
     harness.router.on_answered("x1", "a", b"theirs")
-    assert (sound.finals["a"], harness.router.counts["gate_faults"]) == (1, 1)
+    assert (healthy.final_counts["a"], harness.router.counts["gate_faults"]) == (1, 1)
 
 
-@given(NARROWINGS, NARROWINGS, st.integers(0, 4))
-def test_two_narrowings_together_permit_what_both_do(one: RouteConstraint, other: RouteConstraint, number: int) -> None:
+@given(CONSTRAINTS, CONSTRAINTS, st.integers(0, 4))
+def test_the_intersection_of_two_constraints_permits_what_both_permit(
+        one: RouteConstraint, other: RouteConstraint, number: int) -> None:
     assert one.intersect(other).permits(number) is (one.permits(number) and other.permits(number))
 
 
-class NarrowedCalls(Calls):
-    """The same random steps through two policies that resolve, narrow and refuse at random."""
+class ConstrainedCalls(Calls):
+    """The same random steps, with two policies that resolve, constrain and refuse calls at random."""
 
     def make_harness(self) -> RouterHarness:
-        draw = random.Random(5)
+        source = random.Random(5)
 
         def verdict(request: Request) -> Approval | Refusal | None:
-            kind = draw.random()
-            if kind < 0.2:
-                return None if kind < 0.1 else Refusal("drawn", 1_000)
-            tiers = tuple(draw.choice([None, frozenset(draw.sample(range(4), 2))]) for _ in range(draw.randrange(3)))
-            self.narrowings.setdefault(request.call, []).append(
-                constraint := RouteConstraint(tiers, frozenset(draw.sample(range(4), draw.randrange(2)))))
-            return Approval(draw.choice([None, None, 2]), constraint)
-        self.narrowings: dict[str, list[RouteConstraint]] = {}
-        self.books = [Book(verdict, "one"), Book(verdict, "two")]
-        return RouterHarness(self.books)
+            share = source.random()
+            if share < 0.2:
+                return None if share < 0.1 else Refusal("random", 1_000)
+            tiers = tuple(source.choice([None, frozenset(source.sample(range(4), 2))])
+                          for _ in range(source.randrange(3)))
+            self.constraints.setdefault(request.call, []).append(
+                constraint := RouteConstraint(tiers, frozenset(source.sample(range(4), source.randrange(2)))))
+            return Approval(source.choice([None, None, 2]), constraint)
+        self.constraints: dict[str, list[RouteConstraint]] = {}
+        self.recording_policies = [RecordingPolicy(verdict, "one"), RecordingPolicy(verdict, "two")]
+        return RouterHarness(self.recording_policies)
 
     @invariant()
-    def what_policies_say_holds_and_they_are_told_once(self) -> None:
-        """Whatever came before."""
+    def policies_are_obeyed_and_notified_once(self) -> None:
+        """Set-ups obey every constraint; each policy gets one final result and one end for each call it admitted."""
         for peer, call in self.harness.set_ups:
-            assert all(constraint.permits(int(peer[1:])) for constraint in self.narrowings.get(call, []))
-        for policy in self.books:
+            assert all(constraint.permits(int(peer[1:])) for constraint in self.constraints.get(call, []))
+        for policy in self.recording_policies:
             admitted = set(policy.admitted)
-            in_hand = set(self.harness.router.calls)
-            assert all(policy.overs[call] == (call not in in_hand) for call in admitted)
-            assert all(policy.finals[call] <= 1 for call in admitted)
-            assert all(policy.finals[call] == 1 for call in admitted - in_hand)
-            assert set(policy.overs) <= admitted
+            current = set(self.harness.router.calls)
+            assert all(policy.end_counts[call] == (call not in current) for call in admitted)
+            assert all(policy.final_counts[call] <= 1 for call in admitted)
+            assert all(policy.final_counts[call] == 1 for call in admitted - current)
+            assert set(policy.end_counts) <= admitted
 
 
-TestNarrowedCalls = NarrowedCalls.TestCase
+TestConstrainedCalls = ConstrainedCalls.TestCase
 
 
-# ---- the plan at the gate
+# ---- the plan policy
 
 
-def planned(*plans: Plan) -> tuple[RouterHarness, Versions, PlanPolicy]:
-    """A harness with a plan policy, and the first plan in force."""
+def harness_with_plan(*plans: Plan) -> tuple[RouterHarness, Versions, PlanPolicy]:
+    """A harness with a plan policy and the first of these plans in force."""
     versions = Versions(Rules("n1", "z", 0), random.Random(1))
     policy = PlanPolicy(versions, Desk("z", 0, random.Random(1)))
     harness = RouterHarness((policy,))
@@ -220,17 +224,18 @@
 
 
 def plan(*records: Any) -> Plan:
-    """A plan of four exchanges and these."""
+    """A plan of four exchanges and these records."""
     return build(iter([*(Exchange(n, "z") for n in range(4)), *records]))
 
 
-def test_a_version_in_force_exactly_at_a_calls_deadline_leaves_it_its_one_answer() -> None:
-    harness, versions, _ = planned(plan(Prefix("5", 1)))
+def test_a_version_that_takes_force_at_a_calls_deadline_leaves_the_call_its_one_answer() -> None:
+    harness, versions, _ = harness_with_plan(plan(Prefix("5", 1)))
     harness.offer("a", wait_us=3 * SECOND)
-    later = plan(Prefix("5", 2))
-    sent = make_document(VersionId(1, 2), later.records(), later.state, in_force_ms=(harness.now + 3 * SECOND) // 1000)
-    versions.header(write_header(sent.header), harness.now)
-    versions.lines(list(sent.lines))
+    next_plan = plan(Prefix("5", 2))
+    document = make_document(VersionId(1, 2), next_plan.records(), next_plan.state,
+                             in_force_ms=(harness.now + 3 * SECOND) // 1000)
+    versions.header(write_header(document.header), harness.now)
+    versions.lines(list(document.lines))
     versions.end(harness.now)
     while versions.work(harness.now):
         pass
@@ -247,10 +252,10 @@
     assert {r.call: r.version for r in harness.records} == {"a": "1.1", "before": "1.1", "at": "1.2"}
 
 
-def test_a_call_waiting_to_be_tried_again_keeps_its_version_though_the_new_one_has_no_such_exchange() -> None:
-    harness, versions, policy = planned(plan(Choice(1, over=[[2]], any_tandem=False)))
+def test_a_call_waiting_for_its_retry_keeps_its_version_though_the_new_one_lacks_the_exchange() -> None:
+    harness, versions, policy = harness_with_plan(plan(Choice(1, over=[[2]], any_tandem=False)))
     harness.offer("a", dest=1)
-    harness.peer_ends("a", io.Outcome.CUT)  # its set-up broke: it waits 300 ms for the release
+    harness.peer_ends("a", io.Outcome.CUT)  # its set-up was cut: it waits 300 ms for the release
     versions.restore(VersionId(1, 2), build(iter([Exchange(0), Exchange(3)])), harness.now)
     harness.pass_time(SECOND)
     assert harness.set_ups == [("x1", "a"), ("x1", "a")]
@@ -261,8 +266,8 @@
     assert not harness.router.calls
 
 
-def test_limits_are_free_again_however_a_call_ends() -> None:
-    harness, _, policy = planned(plan(Limit("one", in_hand=1)))
+def test_limits_are_released_however_a_call_ends() -> None:
+    harness, _, policy = harness_with_plan(plan(Limit("one", in_hand=1)))
     for end in ("cancel", "refused", "timeout", "hang up", "ended"):
         harness.offer(end)
         assert policy.desk.in_hand["one"] == 1
