--- a/astertrack/core/__init__.py
+++ b/astertrack/core/__init__.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and outcomes. Nothing here knows a byte, a socket or a library."""
+"""Call requests, attempts and outcomes, independent of protocols, sockets and third-party libraries."""
 
 from astertrack.core.gate import Approval, Gate, Policy, Refusal, RouteConstraint
 from astertrack.core.model import NORMAL_CLEARING, TEMPORARY_FAILURE, AttemptEnd, FinalResult, Request
--- a/astertrack/core/gate.py
+++ b/astertrack/core/gate.py
@@ -1,9 +1,9 @@
-"""The gate: the ordered list of policies that every offered call of every front passes before the module.
+"""The gate: the ordered chain of admission policies that every call offered at any front passes before the module.
 
-A policy may resolve a call's destination, narrow where its set-ups may go, or refuse it with a wait. It decides
-neither server nor retry nor, among admitted calls, whom to turn away: those stay with the module. Whatever a
-policy does, it is told exactly once how a call it admitted was answered, and exactly once that nothing of the
-call is left, in reverse order of approval, also where a later policy refused it.
+A policy may resolve a call's destination, constrain the exchanges that its set-ups may use, or refuse it with a wait.
+Servers, retries and load shedding among admitted calls are decided by the module. Each policy is notified exactly
+once of the final result of a call that it admitted, and exactly once that the call has ended, in reverse order of
+admission, also where a later policy refused the call.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 from astertrack.core.model import FinalResult, LogFunction, Request
 from ospreylug import interface as io
 
-FAULT_WAIT_US = 1_000_000  # when to return after a refusal by a policy that failed and has to stay shut
+FAULT_WAIT_US = 1_000_000  # after which a caller may retry that was refused because a fail_closed policy raised
 Tiers = tuple[frozenset[int] | None, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RouteConstraint:
-    """Where a call's set-ups may go, by the exchanges' numbers.
+    """The exchanges, by number, that a call's set-ups may use.
 
-    `tiers`: groups of exchanges, the first before the second; None stands for every exchange. Empty: any.
-    `never`: exchanges that are not sent to, whatever the tiers say.
+    `tiers`: groups of exchanges in order of preference; None stands for every exchange. Empty: any exchange.
+    `never`: exchanges that are excluded, even if a tier contains them.
     """
 
     tiers: Tiers = ()
     never: frozenset[int] = frozenset()
 
     def permits(self, number: int) -> bool:
-        """Whether a set-up may be sent to this exchange at all."""
+        """Return whether set-ups may be sent to this exchange."""
         return number not in self.never and (
             not self.tiers or any(tier is None or number in tier for tier in self.tiers))
 
     def intersect(self, other: RouteConstraint) -> RouteConstraint:
-        """Return what both permit: in this one's order, and within a tier of it in the other's."""
+        """Return the constraint that permits what both permit, ordered by this one's tiers, then by the other's."""
         never = self.never | other.never
         if not self.tiers or not other.tiers:
             return RouteConstraint(self.tiers or other.tiers, never)
-        both = [a if b is None else b if a is None else a & b for a in self.tiers for b in other.tiers]
-        kept = tuple(tier for tier in both if tier is None or tier - never)
-        return RouteConstraint(kept or (frozenset(),), never)
+        common = [a if b is None else b if a is None else a & b for a in self.tiers for b in other.tiers]
+        usable = tuple(tier for tier in common if tier is None or tier - never)
+        return RouteConstraint(usable or (frozenset(),), never)
 
 
 UNCONSTRAINED = RouteConstraint()
@@ -51,111 +51,111 @@
 
 @dataclass(frozen=True, slots=True)
 class Approval:
-    """A policy lets a call pass: whither (None: as it came), how, and what the policy wants back at its end."""
+    """A policy's consent to a call. `dest` replaces its destination unless None; `token` comes back with each event."""
 
     dest: int | None = None
     constraint: RouteConstraint = UNCONSTRAINED
-    label: str = ""  # for the call's log lines and its record, such as the version of the plan it follows
+    label: str = ""  # for the call's log lines and its record, such as the version of the routing plan
     token: object = None
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A policy turns a call away: why, and after how long its caller should return."""
+    """A policy's refusal of a call: the cause, and after how many microseconds its caller may retry."""
 
     cause: str
     wait_us: int
-    label: str = ""  # as an Approval's
+    label: str = ""  # as for an Approval
 
 
 class Policy(Protocol):
-    """One entry of the list. Decides by what it is told alone: no I/O, no clock but now_us."""
+    """An admission policy. It decides from its arguments and notifications only: no I/O, no clock but now_us."""
 
     name: str
-    # Whether a fault of the policy refuses the call: so it must be where admitting is the greater harm (rights),
-    # not where refusing is (routes, gaps).
+    # Whether a call is refused if the policy raises an exception. True where admitting a call does more harm than
+    # refusing it (access rights); False where refusing does more harm (routes, gaps).
     fail_closed: bool
 
     def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
-        """Take a view of an offered call; None: it passes, and the policy hears no more of it."""
+        """Decide on an offered call; None admits it without further notifications to this policy."""
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
-        """Say, at the moment of sending, whether a set-up of the call may go to this exchange."""
+        """Return whether a set-up of the call may go to this exchange; called right before it is sent."""
 
     def sent(self, token: object, request: Request, entry: io.Entry, now_us: int) -> None:
-        """Hear that a set-up of the call has left."""
+        """Called when a set-up of the call has been sent."""
 
     def final(self, token: object, request: Request, final: FinalResult, now_us: int) -> None:
-        """Hear of the call's one final answer, or that its caller gave up."""
+        """Called once with the final result of the call, also if its caller cancelled it."""
 
     def over(self, token: object, request: Request, now_us: int) -> None:
-        """Hear that nothing of the call is in hand any more."""
+        """Called once when the call has ended and none of its state is left."""
 
 
 class Admission:
-    """What the gate made of one call; kept with it until its end."""
+    """The gate's admission of one call, kept with the call until its end."""
 
-    __slots__ = ("_gate", "_held", "constraint", "label")
+    __slots__ = ("_approvals", "_gate", "constraint", "label")
 
     def __init__(self, gate: Gate) -> None:
         self._gate = gate
-        self._held: list[tuple[Policy, object]] = []
+        self._approvals: list[tuple[Policy, object]] = []  # each with the policy's token
         self.constraint = UNCONSTRAINED
         self.label = ""
 
     def add(self, policy: Policy, approval: Approval) -> None:
-        """Take in what one policy said."""
-        self._held.append((policy, approval.token))
+        """Apply the approval of one policy."""
+        self._approvals.append((policy, approval.token))
         self.constraint = approval.constraint if self.constraint is UNCONSTRAINED else (
             self.constraint.intersect(approval.constraint))
-        self.label = ",".join(x for x in (self.label, approval.label) if x)
+        self.label = ",".join(part for part in (self.label, approval.label) if part)
 
     def permits(self, request: Request, entry: io.Entry, now_us: int) -> bool:
-        """Whether a set-up may go to this exchange now. The last word, whatever the module asked for."""
+        """Return whether a set-up may go to this exchange now, whatever the module asked for."""
         return self.constraint.permits(entry.number) and all(
-            self._gate.ask(policy, token, request, entry, now_us) for policy, token in self._held)
+            self._gate.is_permitted(policy, token, request, entry, now_us) for policy, token in self._approvals)
 
-    def sent(self, request: Request, entry: io.Entry, now_us: int) -> None:
-        """Tell the policies that a set-up has left."""
-        for policy, token in self._held:
-            self._gate.tell(policy, "sent", token, request, entry, now_us)
+    def notify_sent(self, request: Request, entry: io.Entry, now_us: int) -> None:
+        """Notify the policies that a set-up has been sent."""
+        for policy, token in self._approvals:
+            self._gate.notify(policy, "sent", token, request, entry, now_us)
 
-    def final(self, request: Request, final: FinalResult, now_us: int) -> None:
-        """Tell the policies of the final answer."""
-        for policy, token in reversed(self._held):
-            self._gate.tell(policy, "final", token, request, final, now_us)
+    def notify_final(self, request: Request, result: FinalResult, now_us: int) -> None:
+        """Notify the policies of the final result."""
+        for policy, token in reversed(self._approvals):
+            self._gate.notify(policy, "final", token, request, result, now_us)
 
-    def over(self, request: Request, now_us: int) -> None:
-        """Tell the policies that nothing is left, and forget them: told once, whoever asks again."""
-        held, self._held = self._held, []
-        for policy, token in reversed(held):
-            self._gate.tell(policy, "over", token, request, now_us)
+    def notify_ended(self, request: Request, now_us: int) -> None:
+        """Notify the policies that the call has ended; further calls of this method have no effect."""
+        approvals, self._approvals = self._approvals, []
+        for policy, token in reversed(approvals):
+            self._gate.notify(policy, "over", token, request, now_us)
 
 
 class Gate:
-    """The list of policies. A fault in one costs its own say, never the call its answer."""
+    """The chain of admission policies. An exception in one voids only its own decision; the call is still answered."""
 
     def __init__(self, policies: Sequence[Policy], log: LogFunction, counts: Counter[str],
                  resolves_destination: bool = False) -> None:
         self.policies, self.log, self.counts = tuple(policies), log, counts
         self.resolves_destination = resolves_destination  # True: calls may come without one, as a policy supplies it
-        self._open = Admission(self)  # for all calls, while there is no policy
+        self._unconditional = Admission(self)  # shared by all calls if there are no policies
 
     def admit(self, request: Request, now_us: int) -> Admission | Refusal:
-        """Ask every policy in order; the first refusal stands. May set the request's destination."""
+        """Ask the policies in order; the first refusal is final. May set the request's destination."""
         if not self.policies:
-            return self._open
+            return self._unconditional
         admission = Admission(self)
         for policy in self.policies:
             try:
                 verdict = policy.admit(request, now_us)
-            except Exception as wrong:
-                self._fault(policy, "admit", wrong)
+            except Exception as error:
+                self._report_fault(policy, "admit", error)
                 verdict = Refusal("fault", FAULT_WAIT_US) if policy.fail_closed else None
             if isinstance(verdict, Refusal):
                 self.counts[f"gate_refused_{policy.name}_{verdict.cause}".replace("-", "_")] += 1
-                admission.final(request, FinalResult.REFUSED, now_us)
-                admission.over(request, now_us)
+                admission.notify_final(request, FinalResult.REFUSED, now_us)
+                admission.notify_ended(request, now_us)
                 return verdict
             if verdict is not None:
                 if verdict.dest is not None:
@@ -163,21 +163,21 @@
                 admission.add(policy, verdict)
         return admission
 
-    def ask(self, policy: Policy, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
-        """Ask one policy about a set-up."""
+    def is_permitted(self, policy: Policy, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
+        """Return whether one policy permits a set-up."""
         try:
             return policy.permits(token, request, entry, now_us)
-        except Exception as wrong:
-            self._fault(policy, "permits", wrong)
+        except Exception as error:
+            self._report_fault(policy, "permits", error)
             return not policy.fail_closed
 
-    def tell(self, policy: Policy, what: str, *values: object) -> None:
-        """Tell one policy something; its faults stay its own."""
+    def notify(self, policy: Policy, method: str, *values: object) -> None:
+        """Call a notification method of one policy, and log an exception that it raises."""
         try:
-            getattr(policy, what)(*values)
-        except Exception as wrong:
-            self._fault(policy, what, wrong)
+            getattr(policy, method)(*values)
+        except Exception as error:
+            self._report_fault(policy, method, error)
 
-    def _fault(self, policy: Policy, what: str, wrong: Exception) -> None:
+    def _report_fault(self, policy: Policy, method: str, error: Exception) -> None:
         self.counts["gate_faults"] += 1
-        self.log("gate fault", policy=policy.name, told=what, error=repr(wrong))
+        self.log("gate fault", policy=policy.name, told=method, error=repr(error))
--- a/astertrack/core/model.py
+++ b/astertrack/core/model.py
@@ -1,4 +1,4 @@
-"""What the core deals in, and the ports through which it speaks with the world."""
+"""The data types of the core, and the ports through which it reaches callers, peers, the clock and the log."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from ospreylug import interface as io
 
 NORMAL_CLEARING = 16  # Q.850: normal clearing
-TEMPORARY_FAILURE = 41  # Q.850: temporary failure; here: the call or its set-up was cut
+TEMPORARY_FAILURE = 41  # Q.850: temporary failure; used where a call or its set-up was cut
 
 
 @dataclass(slots=True)
 class Request:
-    """A call to be set up. Its deadline is an instant of the Unix clock, in microseconds."""
+    """A call to be set up. Its deadline is absolute, in microseconds of the Unix clock."""
 
     call: str
     service: int
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class AttemptEnd:
-    """How a peer ended an attempt, or the call that came of it."""
+    """How a peer ended an attempt or the established call that resulted from it."""
 
     outcome: io.Outcome
     cause: io.Cause = io.Cause.NONE
@@ -42,82 +42,85 @@
 
 
 class FinalResult(Enum):
-    """The one final answer of a call."""
+    """The result of a call set-up; each call gets exactly one."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
     FAILED = "failed"
-    CANCELLED = "given up"  # by the caller: no answer is owed
+    CANCELLED = "given up"  # by the caller, which gets no answer then
 
 
 @dataclass(slots=True)
 class CallRecord:
-    """A line for the store of record: a call's final answer, or the end of one that stood."""
+    """A row of the call records: the final result of a call, or the end of an established one."""
 
     call: str
     at_us: int
-    event: str  # a FinalResult's value, or "ended" or "cut"
+    event: str  # the value of a FinalResult, or "ended" or "cut"
     service: str
     number: str
     dest: int
     transit: bool
     attempts: int
     peer: str
-    taken_us: int = 0  # when the call was taken
-    version: str = ""  # of the routing plan that it followed; empty: there was none
+    taken_us: int = 0  # when the call was accepted
+    version: str = ""  # version of the routing plan that applied to the call; empty: none did
 
 
 class Caller(Protocol):
-    """Whoever offered a call. Each call gets exactly one of answered, refused and failed."""
+    """The side that offered a call. Each call gets at most one of on_answered, on_refused and on_failed.
+
+    A call that its caller does not cancel gets exactly one of them.
+    """
 
     def on_answered(self, call: str, description: bytes) -> None:
-        """The call stands."""
+        """Report that the call is established."""
 
     def on_refused(self, call: str, wait_us: int) -> None:
-        """Turned away; trying again is harmless after wait_us."""
+        """Report that the call is refused and may be retried after wait_us microseconds."""
 
     def on_failed(self, call: str) -> None:
-        """The call has failed."""
+        """Report that the call has failed."""
 
     def on_released(self, call: str, cause: int) -> None:
-        """A call that stood is over."""
+        """Report that an established call has been released."""
 
 
 class Peers(Protocol):
-    """The far exchanges, by the name that the roster gives them."""
+    """The peer exchanges, addressed by their names in the roster."""
 
     def set_up(self, peer: str, request: Request, deadline_us: int) -> None:
-        """Send a set-up that will be waited for until the deadline."""
+        """Send a set-up whose answer is awaited until the deadline."""
 
     def cancel_set_up(self, peer: str, call: str) -> None:
-        """Give up a set-up that is out."""
+        """Cancel a pending set-up."""
 
     def release(self, peer: str, call: str, cause: int) -> None:
-        """Release a call that stands."""
+        """Release an established call."""
 
     def probe(self, peer: str) -> None:
-        """Test a peer."""
+        """Send a probe to a peer."""
 
 
 class Timer(Protocol):
-    """Something that will be called at an instant."""
+    """A callback scheduled for an instant."""
 
     def cancel(self) -> None:
-        """Forget it; harmless when it has fired."""
+        """Cancel the callback; has no effect once it has run."""
 
 
 class Clock(Protocol):
-    """The Unix clock in microseconds, and what is to be done at an instant of it."""
+    """The Unix clock in microseconds, with timers."""
 
     def now_us(self) -> int:
-        """Return the present instant."""
+        """Return the current time."""
 
     def call_at(self, when_us: int, callback: Callable[[], None]) -> Timer:
-        """Call the callback at an instant, never before it."""
+        """Call the callback at when_us, never earlier."""
 
 
 class LogFunction(Protocol):
-    """The one use that the core makes of a log."""
+    """The only function of a log that the core uses."""
 
     def __call__(self, event: str, **values: object) -> object:
-        """Write a line."""
+        """Write a log line with named values."""
--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -1,8 +1,8 @@
-"""The router: holds calls and attempts, feeds the decision module and carries out what it decides.
+"""The router: holds calls and attempts, passes events to the decision module and carries out its actions.
 
-Whatever the module asks for, five things are kept here: one final answer a call, before its deadline;
-attempts never overlap; a resend waits for the release; nothing new goes to a peer that drains or is gone; no
-more attempts than the settings allow.
+The router guarantees five rules, whatever the module asks for: each call gets one final answer before its deadline;
+attempts never overlap; a new attempt waits for the release of one that was possibly executed; no set-up goes to a
+peer that is draining or gone; no call gets more attempts than the settings allow.
 """
 
 from __future__ import annotations
@@ -28,18 +28,20 @@
 from ospreylug import interface as io
 from ospreylug.logic import Controller
 
-# What is unanswered so long before its deadline, the router refuses itself; a call offered with less time
-# left, at once. No longer: at times callers wait for 110 to 160 ms, and 100 ms of it left set-ups 7 to 60 ms,
-# where an answer takes 40. A busy router that answers some after their time loses no more than it gains.
-MARGIN_US = 10_000
-ORPHAN_US = 60_000_000  # after a start, how long releases may come of calls that a process before set up
-RETURN_US = 1_000_000  # when to return after a refusal of the router's own
-UNCERTAIN = (io.Outcome.TIMEOUT, io.Outcome.CUT, io.Outcome.CALLED_OFF)  # its release has to be awaited
+# The router refuses a call that is still unanswered this long before its deadline, and a call offered with less time
+# left at once. A longer margin costs calls: some callers wait only 110 to 160 ms; a margin of 100 ms left their set-ups
+# 7 to 60 ms, where an answer takes 40 ms. The few answers that a busy router then gives too late cost no more than the
+# short margin gains.
+ANSWER_MARGIN_US = 10_000
+ORPHAN_WINDOW_US = 60_000_000  # after a start, in which peers may release calls set up by the previous process
+RETRY_WAIT_US = 1_000_000  # after which a caller may retry that the router itself refused
+# Outcomes after which the peer may have executed the set-up: a new attempt has to wait for the release.
+POSSIBLY_EXECUTED = (io.Outcome.TIMEOUT, io.Outcome.CUT, io.Outcome.CALLED_OFF)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """A set-up that is out, or the call that came of it."""
+    """A pending set-up, or the established call that resulted from it."""
 
     number: int
     peer: str
@@ -49,171 +51,173 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A call in hand: unanswered, or established."""
+    """A current call: unanswered, or established."""
 
     request: Request
     caller: Caller
-    taken_us: int
+    accepted_us: int
     answer_by_us: int
-    admission: Admission | None = None  # what the gate made of it; None: not through the gate
-    label: str = ""  # what the gate wants said of it, such as the version of the plan that it follows
-    guard: Timer | None = None  # refuses the call should nothing else have answered it
+    admission: Admission | None = None  # None: the call has not passed the gate
+    label: str = ""  # the gate's label, such as the version of the routing plan
+    guard_timer: Timer | None = None  # refuses the call if nothing else has answered it by answer_by_us
     attempt: Attempt | None = None
     attempts: int = 0
-    not_before_us: int = 0
+    next_attempt_us: int = 0  # earliest time of the next attempt
     is_established: bool = False
 
 
 class Router:
-    """One exchange's calls. Events come in by its methods; answers and set-ups leave by its ports."""
+    """The calls of one exchange. Events arrive through its methods; answers and set-ups leave through its ports."""
 
     def __init__(self, settings: io.Settings, seed: int, clock: Clock, peers: Peers, log: LogFunction,
                  record: Callable[[CallRecord], None],
-                 orphaned: Callable[[str, int], None] = lambda call, cause: None,
+                 on_orphan_released: Callable[[str, int], None] = lambda call, cause: None,
                  gate: Gate | None = None, counts: Counter[str] | None = None) -> None:
         self.settings, self.clock, self.peers, self.log, self.record = settings, clock, peers, log, record
-        self.orphaned = orphaned  # releases, towards its caller, a call of the process before this one
+        self.on_orphan_released = on_orphan_released  # releases a call of the previous process towards its caller
         self.controller = Controller(settings, seed)
         self.calls: dict[str, Call] = {}
         self.calls_by_peer: dict[str, dict[str, Call]] = {}  # calls with a pending or established attempt, by peer
         self.roster: dict[str, io.Entry] = {}
-        self.free: dict[str, float] = {}  # circuits free in the group to a peer, as last told
-        self.round_trip_us: dict[str, int] = {}  # shortest time in which a peer ended an attempt
+        self.free_circuits: dict[str, float] = {}  # in the trunk group to a peer, as last reported
+        self.round_trip_us: dict[str, int] = {}  # shortest time that a peer took to end an attempt
         self.counts: Counter[str] = counts if counts is not None else Counter()
         self.gate = gate if gate is not None else Gate((), log, self.counts)
-        self._seen: set[str] | None = set()  # calls of this process, while orphans may come
-        clock.call_at(clock.now_us() + ORPHAN_US, self._no_more_orphans)
+        self._seen_calls: set[str] | None = set()  # calls of this process; None after the orphan window
+        clock.call_at(clock.now_us() + ORPHAN_WINDOW_US, self._close_orphan_window)
         self._events: deque[io.Event] = deque()
-        self._busy = False
+        self._is_dispatching = False
         self._now_us = 0
 
-    # ---- what callers do
+    # ---- requests of callers
 
     def offer(self, request: Request, caller: Caller) -> bool:
-        """Take a call; False if a call of this id is in hand already."""
+        """Accept a call; return False if a call with this id is current already."""
         if request.call in self.calls:
             self.counts["offers_repeated"] += 1
             return False
-        if self._seen is not None:
-            self._seen.add(request.call)
+        if self._seen_calls is not None:
+            self._seen_calls.add(request.call)
         now = self.now_us()
-        call = self.calls[request.call] = Call(request, caller, now, request.deadline_us - MARGIN_US)
+        call = self.calls[request.call] = Call(request, caller, now, request.deadline_us - ANSWER_MARGIN_US)
         self.counts["calls_in_transit" if request.transit else "calls_fresh"] += 1
         if call.answer_by_us <= now:
             self.counts["offers_too_late"] += 1
-            self._answer(call, FinalResult.REFUSED, RETURN_US)
+            self._reject(call, FinalResult.REFUSED, RETRY_WAIT_US)
             return True
-        passed = self.gate.admit(request, now)
-        if isinstance(passed, Refusal):
+        verdict = self.gate.admit(request, now)
+        if isinstance(verdict, Refusal):
             self.counts["refused_at_gate"] += 1
-            call.label = passed.label
-            self._answer(call, FinalResult.REFUSED, passed.wait_us)
+            call.label = verdict.label
+            self._reject(call, FinalResult.REFUSED, verdict.wait_us)
             return True
-        call.admission, call.label = passed, passed.label
-        call.guard = self.clock.call_at(call.answer_by_us, lambda: self._overdue(call))
-        self._feed(io.CallOffered(
+        call.admission, call.label = verdict, verdict.label
+        call.guard_timer = self.clock.call_at(call.answer_by_us, lambda: self._refuse_overdue(call))
+        self._dispatch(io.CallOffered(
             request.call, request.service, request.dest, request.number, request.deadline_us, request.width,
             request.tenant, request.transit, request.via, request.repeated, request.cut_before,
-            passed.constraint.tiers, passed.constraint.never))
+            verdict.constraint.tiers, verdict.constraint.never))
         return True
 
-    def cancel(self, name: str) -> bool:
-        """The caller gives up an unanswered call; False if there is none."""
-        call = self.calls.get(name)
+    def cancel(self, call_id: str) -> bool:
+        """Cancel an unanswered call for its caller; return False if there is none with this id."""
+        call = self.calls.get(call_id)
         if call is None or call.is_established:
             return False
         now = self.now_us()
-        self.log("caller gave up", call=name, waited_ms=(now - call.taken_us) // 1000, attempts=call.attempts,
-                 left_ms=(call.request.deadline_us - now) // 1000, **self._labels(call))
-        self._finish(call, FinalResult.CANCELLED)
-        self._feed(io.CallerGone(name))
+        self.log("caller gave up", call=call_id, waited_ms=(now - call.accepted_us) // 1000, attempts=call.attempts,
+                 left_ms=(call.request.deadline_us - now) // 1000, **self._log_fields(call))
+        self._end_unanswered(call, FinalResult.CANCELLED)
+        self._dispatch(io.CallerGone(call_id))
         if call.attempt is not None:
-            self._give_up(call, io.Outcome.CALLED_OFF, settled=True)
+            self._cancel_attempt(call, io.Outcome.CALLED_OFF, settled=True)
         return True
 
-    def release_call(self, name: str, cause: int) -> bool:
-        """The caller releases a call that stands; False if there is none."""
-        call = self.calls.get(name)
-        if call is None and self._seen is not None and name not in self._seen:
-            # It stood before a restart, at a peer that only the process before knew: else it would stand on.
-            self._seen.add(name)
+    def release_call(self, call_id: str, cause: int) -> bool:
+        """Release an established call for its caller; return False if there is none with this id."""
+        call = self.calls.get(call_id)
+        if call is None and self._seen_calls is not None and call_id not in self._seen_calls:
+            # The call was established before a restart, at a peer that only the previous process knew. Without a
+            # release to every peer it would stay established there.
+            self._seen_calls.add(call_id)
             self.counts["releases_of_before"] += 1
             for peer in self.roster:
-                self.peers.release(peer, name, cause)
+                self.peers.release(peer, call_id, cause)
             return False
         if call is None or not call.is_established or call.attempt is None:
             return False
         self.counts["releases_by_caller"] += 1
-        self.peers.release(call.attempt.peer, name, cause)
-        self._over(call, AttemptEnd(io.Outcome.OK if cause == NORMAL_CLEARING else io.Outcome.CUT))
+        self.peers.release(call.attempt.peer, call_id, cause)
+        self._end_established(call, AttemptEnd(io.Outcome.OK if cause == NORMAL_CLEARING else io.Outcome.CUT))
         return True
 
     def count_unanswered(self) -> int:
-        """Return how many calls wait for their final answer."""
+        """Return the number of calls that still wait for their final answer."""
         return sum(not call.is_established for call in self.calls.values())
 
-    # ---- what peers do
+    # ---- events of peers
 
-    def on_answered(self, peer: str, name: str, description: bytes) -> None:
-        """A peer answered a set-up."""
-        call = self._at(peer, name)
+    def on_answered(self, peer: str, call_id: str, description: bytes) -> None:
+        """Called when a peer has answered a set-up."""
+        call = self._find_at_peer(peer, call_id)
         if call is None or call.attempt is None:
-            # The answer to an attempt given up: the peer holds circuits for a call that nobody waits for.
+            # The attempt was cancelled: the peer holds circuits for a call that nobody waits for.
             self.counts["answers_late"] += 1
-            self.peers.release(peer, name, NORMAL_CLEARING)
+            self.peers.release(peer, call_id, NORMAL_CLEARING)
             return
         if call.is_established:
             self.counts["answers_repeated"] += 1
             return
         call.is_established = True
-        self._stop(call)
+        self._cancel_timers(call)
         self.counts["final_answered"] += 1
-        call.caller.on_answered(name, description)
-        self._note(call, FinalResult.ANSWERED.value)
+        call.caller.on_answered(call_id, description)
+        self._write_record(call, FinalResult.ANSWERED.value)
         if call.admission is not None:
-            call.admission.final(call.request, FinalResult.ANSWERED, self.now_us())
-        delay = self.now_us() - call.attempt.sent_us
-        self._feed(io.CallStands(name, call.attempt.number, peer, delay))
+            call.admission.notify_final(call.request, FinalResult.ANSWERED, self.now_us())
+        delay_us = self.now_us() - call.attempt.sent_us
+        self._dispatch(io.CallStands(call_id, call.attempt.number, peer, delay_us))
 
-    def on_ended(self, peer: str, name: str, end: AttemptEnd) -> None:
-        """A peer ended an attempt, or a call that stood."""
-        call = self._at(peer, name)
+    def on_ended(self, peer: str, call_id: str, end: AttemptEnd) -> None:
+        """Called when a peer has ended an attempt or an established call."""
+        call = self._find_at_peer(peer, call_id)
         if call is None:
             self.counts["releases_unknown"] += 1
-            self._orphan(name, end.outcome)
+            self._pass_on_orphan_release(call_id, end.outcome)
         elif call.is_established:
-            self._cut_or_ended(call, end)
+            self._end_by_peer(call, end)
         else:
             if call.attempt is not None and end.outcome is not io.Outcome.UNREACHABLE:
-                took = self.now_us() - call.attempt.sent_us
-                self.round_trip_us[peer] = min(took, self.round_trip_us.get(peer, took))
-            self._attempt_over(call, end, settled=False)
-
-    def _orphan(self, name: str, outcome: io.Outcome) -> None:
-        """A call of the process before a restart is over: its caller is told, once."""
-        ended = outcome is io.Outcome.OK
-        if self._seen is not None and name not in self._seen and (ended or outcome is io.Outcome.CUT):
-            self._seen.add(name)
+                elapsed_us = self.now_us() - call.attempt.sent_us
+                self.round_trip_us[peer] = min(elapsed_us, self.round_trip_us.get(peer, elapsed_us))
+            self._end_attempt(call, end, settled=False)
+
+    def _pass_on_orphan_release(self, call_id: str, outcome: io.Outcome) -> None:
+        """Pass the release of a call of the process before a restart on to its caller, once."""
+        ended_normally = outcome is io.Outcome.OK
+        if self._seen_calls is not None and call_id not in self._seen_calls and (
+                ended_normally or outcome is io.Outcome.CUT):
+            self._seen_calls.add(call_id)
             self.counts["releases_passed_on"] += 1
-            self.orphaned(name, NORMAL_CLEARING if ended else TEMPORARY_FAILURE)
+            self.on_orphan_released(call_id, NORMAL_CLEARING if ended_normally else TEMPORARY_FAILURE)
 
-    def _no_more_orphans(self) -> None:
-        self._seen = None
+    def _close_orphan_window(self) -> None:
+        self._seen_calls = None
 
     def on_peer_lost(self, peer: str) -> list[str]:
-        """A peer's process has died, and its calls with it: nobody else will release them. Returns them."""
+        """Cut the established calls of a peer whose process has died: nobody else releases them. Return their ids."""
         lost = [call for call in self.calls_by_peer.get(peer, {}).values() if call.is_established]
         for call in lost:
-            self._cut_or_ended(call, AttemptEnd(io.Outcome.CUT))
+            self._end_by_peer(call, AttemptEnd(io.Outcome.CUT))
         return [call.request.call for call in lost]
 
     def on_group_state(self, peer: str, load: io.Load, ok: bool = True, delay_us: int = 0) -> None:
-        """A peer told the state of the group towards it, or answered a probe."""
+        """Called when a peer has reported the state of the trunk group towards it, or has answered a probe."""
         if peer in self.roster:
-            self._feed(io.GroupStatus(peer, ok, delay_us, self._as_of_now(peer, load)))
+            self._dispatch(io.GroupStatus(peer, ok, delay_us, self._subtract_unseen_set_ups(peer, load)))
 
     def set_roster(self, change: io.RosterChange) -> None:
-        """The bulletin told of peers."""
+        """Apply a change of the roster of peers that the bulletin announced."""
         before = dict(self.roster)
         if change.kind in (io.RosterKind.REPLACE, io.RosterKind.RESTORED):
             self.roster = {}
@@ -222,210 +226,210 @@
                 self.roster.pop(entry.exchange, None)
             else:
                 self.roster[entry.exchange] = entry
-        self._feed(change)
-        for name, old in before.items():
-            new = self.roster.get(name)
+        self._dispatch(change)
+        for peer, old in before.items():
+            new = self.roster.get(peer)
             if new is None:
-                self.free.pop(name, None)
-                self.on_peer_lost(name)  # a machine that vanished sends no release
+                self.free_circuits.pop(peer, None)
+                self.on_peer_lost(peer)  # a peer that is gone sends no releases
             elif new.started_us and new.started_us != old.started_us:
-                for call in list(self.calls_by_peer.get(name, {}).values()):  # calls of the process before
+                for call in list(self.calls_by_peer.get(peer, {}).values()):  # of its previous process
                     if call.is_established and call.attempt and call.attempt.sent_us < new.started_us:
-                        self._cut_or_ended(call, AttemptEnd(io.Outcome.CUT))
+                        self._end_by_peer(call, AttemptEnd(io.Outcome.CUT))
 
-    # ---- what the module asks for
+    # ---- actions of the module
 
     def now_us(self) -> int:
-        """Return the clock, which never runs backwards for the module."""
+        """Return the time in microseconds; for the module it never runs backwards."""
         self._now_us = max(self._now_us, self.clock.now_us())
         return self._now_us
 
-    def _feed(self, event: io.Event) -> None:
-        """Hand an event to the module and carry out its actions; events that these cause wait their turn."""
+    def _dispatch(self, event: io.Event) -> None:
+        """Pass an event to the module and carry out its actions; events that these cause are queued behind it."""
         self._events.append(event)
-        if self._busy:
+        if self._is_dispatching:
             return
-        self._busy = True
+        self._is_dispatching = True
         try:
             while self._events:
                 event = self._events.popleft()
                 try:
                     actions = self.controller.handle(self.now_us(), event)
-                except Exception as wrong:  # a fault in a decision costs one call, which its guard answers
+                except Exception as error:  # costs one call at most, which its guard timer answers
                     self.counts["module_faults"] += 1
-                    self.log("module fault", told=type(event).__name__, error=repr(wrong))
+                    self.log("module fault", told=type(event).__name__, error=repr(error))
                     continue
                 for action in actions:
                     self._carry_out(action)
         finally:
-            self._busy = False
+            self._is_dispatching = False
 
-    def _as_of_now(self, peer: str, load: io.Load) -> io.Load:
-        """Take the circuits of set-ups that the peer had not seen off the free ones that it told.
+    def _subtract_unseen_set_ups(self, peer: str, load: io.Load) -> io.Load:
+        """Subtract the circuits of set-ups that the peer had not yet received from the free ones that it reported.
 
-        Guards full groups: each circuit that frees is told a round trip late, and every call held for it
-        would be sent. Set-ups of the last round trip had not arrived when the report left.
+        Without this, every call queued for a full group would be sent as soon as one circuit is free, since each
+        report is a round trip late: set-ups sent within the last round trip had not arrived when the report left.
         """
         if load.free is None:
             return load
-        since = self.now_us() - self.round_trip_us.get(peer, 0)
-        unseen = 0.0
+        since_us = self.now_us() - self.round_trip_us.get(peer, 0)
+        unseen_width = 0.0
         for call in reversed(self.calls_by_peer.get(peer, {}).values()):
-            if call.attempt is None or call.attempt.sent_us <= since:
+            if call.attempt is None or call.attempt.sent_us <= since_us:
                 break
-            unseen += call.request.width
-        self.free[peer] = free = max(0.0, load.free - unseen)
-        return load if not unseen else replace(load, free=free)
+            unseen_width += call.request.width
+        self.free_circuits[peer] = free = max(0.0, load.free - unseen_width)
+        return load if not unseen_width else replace(load, free=free)
 
     def _carry_out(self, action: io.Action) -> None:
         match action:
-            case io.SetUp(name, peer, timeout_us):
-                self._set_up(name, peer, self.now_us() + timeout_us)
-            case io.Refuse(name, wait_us):
-                if (call := self._open(name)) is not None:
-                    self._answer(call, FinalResult.REFUSED, wait_us)
-            case io.Fail(name):
-                if (call := self._open(name)) is not None:
-                    self._answer(call, FinalResult.FAILED)
-            case io.CallOff(name, number):
-                call = self._open(name)
+            case io.SetUp(call_id, peer, timeout_us):
+                self._set_up(call_id, peer, self.now_us() + timeout_us)
+            case io.Refuse(call_id, wait_us):
+                if (call := self._find_unanswered(call_id)) is not None:
+                    self._reject(call, FinalResult.REFUSED, wait_us)
+            case io.Fail(call_id):
+                if (call := self._find_unanswered(call_id)) is not None:
+                    self._reject(call, FinalResult.FAILED)
+            case io.CallOff(call_id, number):
+                call = self._find_unanswered(call_id)
                 if call is not None and call.attempt is not None and call.attempt.number == number:
-                    self._give_up(call, io.Outcome.CALLED_OFF, settled=False)
+                    self._cancel_attempt(call, io.Outcome.CALLED_OFF, settled=False)
             case io.SetTimer(token, at_us):
-                self.clock.call_at(at_us, lambda: self._feed(io.TimerDue(token)))
+                self.clock.call_at(at_us, lambda: self._dispatch(io.TimerDue(token)))
             case io.Probe(peer):
                 self.counts["probes_sent"] += 1
                 self.peers.probe(peer)
             case io.Log(text):
                 self.log("module", text=text)
             case io.WatchRoster() | io.FetchRoster() | io.TellPeers():
-                pass  # the bulletin is always read, and routers have no way to talk to each other
+                pass  # the bulletin is read anyway, and routers cannot send messages to each other
 
-    def _set_up(self, name: str, peer: str, deadline_us: int) -> None:
-        call = self._open(name)
+    def _set_up(self, call_id: str, peer: str, deadline_us: int) -> None:
+        call = self._find_unanswered(call_id)
         if call is None:
             return
         number, now = call.attempts, self.now_us()
         call.attempts += 1
         deadline_us = min(deadline_us, call.answer_by_us)
         entry = self.roster.get(peer)
-        free = self.free.get(peer)
+        free = self.free_circuits.get(peer)
         no_circuit = free is not None and free < call.request.width
-        if (call.attempt is not None or number >= self.settings.max_attempts or now < call.not_before_us
+        if (call.attempt is not None or number >= self.settings.max_attempts or now < call.next_attempt_us
                 or entry is None or entry.readiness is not io.Readiness.READY or deadline_us <= now
                 or no_circuit
                 or (call.admission is not None and not call.admission.permits(call.request, entry, now))):
             self.counts["attempts_moot_here"] += 1
             cause = io.Cause.NO_CIRCUIT if no_circuit else io.Cause.NONE
-            self._feed(io.AttemptEnded(name, number, peer, io.Outcome.NOT_SENT, 0, False, cause))
+            self._dispatch(io.AttemptEnded(call_id, number, peer, io.Outcome.NOT_SENT, 0, False, cause))
             return
         call.attempt = attempt = Attempt(number, peer, now)
-        self.calls_by_peer.setdefault(peer, {})[name] = call
+        self.calls_by_peer.setdefault(peer, {})[call_id] = call
         self.counts["attempts_sent"] += 1
         if call.admission is not None:
-            call.admission.sent(call.request, entry, now)
-        attempt.timer = self.clock.call_at(deadline_us, lambda: self._timed_out(call, attempt))
+            call.admission.notify_sent(call.request, entry, now)
+        attempt.timer = self.clock.call_at(deadline_us, lambda: self._on_attempt_timeout(call, attempt))
         self.peers.set_up(peer, call.request, deadline_us)
 
-    # ---- a call's and an attempt's end
+    # ---- the ends of calls and attempts
 
-    def _open(self, name: str) -> Call | None:
-        call = self.calls.get(name)
+    def _find_unanswered(self, call_id: str) -> Call | None:
+        call = self.calls.get(call_id)
         return None if call is None or call.is_established else call
 
-    def _at(self, peer: str, name: str) -> Call | None:
-        return self.calls_by_peer.get(peer, {}).get(name)
+    def _find_at_peer(self, peer: str, call_id: str) -> Call | None:
+        return self.calls_by_peer.get(peer, {}).get(call_id)
 
-    def _timed_out(self, call: Call, attempt: Attempt) -> None:
+    def _on_attempt_timeout(self, call: Call, attempt: Attempt) -> None:
         if call.attempt is attempt and not call.is_established:
-            self._give_up(call, io.Outcome.TIMEOUT, settled=False)
+            self._cancel_attempt(call, io.Outcome.TIMEOUT, settled=False)
 
-    def _overdue(self, call: Call) -> None:
-        """Refuse what the module has left unanswered: guards the one answer against its faults."""
+    def _refuse_overdue(self, call: Call) -> None:
+        """Refuse a call that the module has left unanswered, so that its faults cost no call its answer."""
         if self.calls.get(call.request.call) is not call or call.is_established:
             return
         self.counts["answers_by_guard"] += 1
-        self._answer(call, FinalResult.REFUSED, RETURN_US)
-        self._feed(io.CallerGone(call.request.call))
+        self._reject(call, FinalResult.REFUSED, RETRY_WAIT_US)
+        self._dispatch(io.CallerGone(call.request.call))
         if call.attempt is not None:
-            self._give_up(call, io.Outcome.TIMEOUT, settled=True)
+            self._cancel_attempt(call, io.Outcome.TIMEOUT, settled=True)
 
-    def _give_up(self, call: Call, outcome: io.Outcome, settled: bool) -> None:
+    def _cancel_attempt(self, call: Call, outcome: io.Outcome, settled: bool) -> None:
         if call.attempt is not None:
             self.peers.cancel_set_up(call.attempt.peer, call.request.call)
-            self._attempt_over(call, AttemptEnd(outcome), settled)
+            self._end_attempt(call, AttemptEnd(outcome), settled)
 
-    def _attempt_over(self, call: Call, end: AttemptEnd, settled: bool) -> None:
+    def _end_attempt(self, call: Call, end: AttemptEnd, settled: bool) -> None:
         attempt, call.attempt = call.attempt, None
         if attempt is None:
             return
         if attempt.timer is not None:
             attempt.timer.cancel()
-        self._leave(attempt.peer, call.request.call)
+        self._remove_from_peer(attempt.peer, call.request.call)
         self.counts["attempts_" + end.outcome.value.replace(" ", "_")] += 1
         now = self.now_us()
-        load = self._as_of_now(attempt.peer, end.load)
-        if end.outcome in UNCERTAIN:
-            call.not_before_us = now + self.settings.release_us
-        self._feed(io.AttemptEnded(call.request.call, attempt.number, attempt.peer, end.outcome,
-                                   now - attempt.sent_us, settled, end.cause, 0, load))
-
-    def _leave(self, peer: str, name: str) -> None:
-        here = self.calls_by_peer.get(peer)
-        if here is not None:
-            here.pop(name, None)
-            if not here:
+        load = self._subtract_unseen_set_ups(attempt.peer, end.load)
+        if end.outcome in POSSIBLY_EXECUTED:
+            call.next_attempt_us = now + self.settings.release_us
+        self._dispatch(io.AttemptEnded(call.request.call, attempt.number, attempt.peer, end.outcome,
+                                       now - attempt.sent_us, settled, end.cause, 0, load))
+
+    def _remove_from_peer(self, peer: str, call_id: str) -> None:
+        calls = self.calls_by_peer.get(peer)
+        if calls is not None:
+            calls.pop(call_id, None)
+            if not calls:
                 del self.calls_by_peer[peer]
 
-    def _cut_or_ended(self, call: Call, end: AttemptEnd) -> None:
-        """A call that stood is over by the peer's doing: release it towards its caller."""
+    def _end_by_peer(self, call: Call, end: AttemptEnd) -> None:
+        """End an established call that its peer has released or cut, and release it towards its caller."""
         call.caller.on_released(call.request.call,
                                 NORMAL_CLEARING if end.outcome is io.Outcome.OK else TEMPORARY_FAILURE)
-        self._over(call, end)
+        self._end_established(call, end)
 
-    def _over(self, call: Call, end: AttemptEnd) -> None:
-        ended = end.outcome is io.Outcome.OK
-        self.counts["calls_ended" if ended else "calls_cut"] += 1
-        self._note(call, "ended" if ended else "cut")
+    def _end_established(self, call: Call, end: AttemptEnd) -> None:
+        ended_normally = end.outcome is io.Outcome.OK
+        self.counts["calls_ended" if ended_normally else "calls_cut"] += 1
+        self._write_record(call, "ended" if ended_normally else "cut")
         self.calls.pop(call.request.call, None)
         if call.admission is not None:
-            call.admission.over(call.request, self.now_us())
-        self._attempt_over(call, end, settled=True)
+            call.admission.notify_ended(call.request, self.now_us())
+        self._end_attempt(call, end, settled=True)
 
-    def _answer(self, call: Call, final: FinalResult, wait_us: int = 0) -> None:
-        """Give the one final answer, if it is not a call that stands."""
-        self._finish(call, final)
-        if final is FinalResult.REFUSED:
+    def _reject(self, call: Call, result: FinalResult, wait_us: int = 0) -> None:
+        """End an unanswered call, and send its caller the one final answer: refused or failed."""
+        self._end_unanswered(call, result)
+        if result is FinalResult.REFUSED:
             call.caller.on_refused(call.request.call, wait_us)
         else:
             call.caller.on_failed(call.request.call)
 
-    def _finish(self, call: Call, final: FinalResult) -> None:
-        self._stop(call)
+    def _end_unanswered(self, call: Call, result: FinalResult) -> None:
+        self._cancel_timers(call)
         self.calls.pop(call.request.call, None)
-        self.counts["final_" + final.value.replace(" ", "_")] += 1
-        self._note(call, final.value)
+        self.counts["final_" + result.value.replace(" ", "_")] += 1
+        self._write_record(call, result.value)
         if call.admission is not None:
             now = self.now_us()
-            call.admission.final(call.request, final, now)
-            call.admission.over(call.request, now)
-
-    def _stop(self, call: Call) -> None:
-        """No time-out runs for a call that is answered."""
-        if call.guard is not None:
-            call.guard.cancel()
-            call.guard = None
+            call.admission.notify_final(call.request, result, now)
+            call.admission.notify_ended(call.request, now)
+
+    def _cancel_timers(self, call: Call) -> None:
+        """Cancel the timers of a call that has its final answer."""
+        if call.guard_timer is not None:
+            call.guard_timer.cancel()
+            call.guard_timer = None
         if call.attempt is not None and call.attempt.timer is not None:
             call.attempt.timer.cancel()
 
-    def _note(self, call: Call, event: str) -> None:
+    def _write_record(self, call: Call, event: str) -> None:
         request = call.request
         self.record(CallRecord(request.call, self.now_us(), event, request.service_name, request.number,
                            request.dest, request.transit, call.attempts,
-                           call.attempt.peer if call.attempt else "", call.taken_us,
+                           call.attempt.peer if call.attempt else "", call.accepted_us,
                            call.label))
 
     @staticmethod
-    def _labels(call: Call) -> dict[str, str]:
-        """What the gate wants said of a call in its log lines."""
+    def _log_fields(call: Call) -> dict[str, str]:
+        """Return the fields that the gate's label adds to the log lines of a call."""
         return {"version": call.label} if call.label else {}
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -13,7 +13,7 @@
 
 from astertrack.core import NORMAL_CLEARING, TEMPORARY_FAILURE, AttemptEnd, Gate, Policy, Request, Router
 from astertrack.core.model import CallRecord
-from astertrack.core.router import MARGIN_US
+from astertrack.core.router import ANSWER_MARGIN_US
 from ospreylug import interface as io
 
 
@@ -156,7 +156,7 @@
 def test_a_set_up_at_an_unresponsive_peer_times_out_and_the_caller_gets_its_answer_before_its_deadline() -> None:
     harness = RouterHarness()
     harness.offer("a", wait_us=SECOND)
-    harness.pass_time(SECOND - MARGIN_US)
+    harness.pass_time(SECOND - ANSWER_MARGIN_US)
     assert harness.finals["a"] == 1
     assert harness.peer_releases == [("x1", "a", NORMAL_CLEARING)]
 
@@ -191,7 +191,7 @@
 def test_a_call_offered_within_the_answer_margin_is_refused_without_an_attempt() -> None:
     """A call with less time left than the margin would be cancelled by its caller before the answer is written."""
     harness = RouterHarness()
-    harness.offer("a", wait_us=MARGIN_US)
+    harness.offer("a", wait_us=ANSWER_MARGIN_US)
     assert (harness.finals["a"], harness.set_ups) == (1, [])
     assert harness.waits["a"] > 0
 
