--- a/astertrack/core/model.py
+++ b/astertrack/core/model.py
@@ -17,19 +17,19 @@
 class Request:
     """A call to be set up. Its deadline is absolute, in microseconds of the Unix clock."""
 
-    call: str
-    service: int
+    call_id: str
+    service: int  # index of the call's class in the settings
     service_name: str
-    dest: int
-    number: str
+    dest: int  # number of the destination exchange; -1: a policy of the gate supplies it
+    number: str  # the called number
     deadline_us: int
-    description: bytes
-    width: float = 1.0
+    description: bytes  # session description of the caller
+    width: float = 1.0  # circuits that the call takes
     tenant: int = 0
     transit: bool = False
-    via: int = -1
-    repeated: bool = False
-    cut_before: bool = False
+    via: int = -1  # recommended tandem, or the exchange from which a call in transit comes; -1: none
+    repeated: bool = False  # the caller has offered the call before
+    cut_before: bool = False  # the caller returns after an established call was cut
 
 
 @dataclass(slots=True)
@@ -73,16 +73,16 @@
     A call that its caller does not cancel gets exactly one of them.
     """
 
-    def on_answered(self, call: str, description: bytes) -> None:
+    def on_answered(self, call_id: str, description: bytes) -> None:
         """Report that the call is established."""
 
-    def on_refused(self, call: str, wait_us: int) -> None:
+    def on_refused(self, call_id: str, wait_us: int) -> None:
         """Report that the call is refused and may be retried after wait_us microseconds."""
 
-    def on_failed(self, call: str) -> None:
+    def on_failed(self, call_id: str) -> None:
         """Report that the call has failed."""
 
-    def on_released(self, call: str, cause: int) -> None:
+    def on_released(self, call_id: str, cause: int) -> None:
         """Report that an established call has been released."""
 
 
@@ -92,10 +92,10 @@
     def set_up(self, peer: str, request: Request, deadline_us: int) -> None:
         """Send a set-up whose answer is awaited until the deadline."""
 
-    def cancel_set_up(self, peer: str, call: str) -> None:
+    def cancel_set_up(self, peer: str, call_id: str) -> None:
         """Cancel a pending set-up."""
 
-    def release(self, peer: str, call: str, cause: int) -> None:
+    def release(self, peer: str, call_id: str, cause: int) -> None:
         """Release an established call."""
 
     def probe(self, peer: str) -> None:
--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -71,7 +71,7 @@
 
     def __init__(self, settings: io.Settings, seed: int, clock: Clock, peers: Peers, log: LogFunction,
                  record: Callable[[CallRecord], None],
-                 on_orphan_released: Callable[[str, int], None] = lambda call, cause: None,
+                 on_orphan_released: Callable[[str, int], None] = lambda call_id, cause: None,
                  gate: Gate | None = None, counts: Counter[str] | None = None) -> None:
         self.settings, self.clock, self.peers, self.log, self.record = settings, clock, peers, log, record
         self.on_orphan_released = on_orphan_released  # releases a call of the previous process towards its caller
@@ -93,13 +93,13 @@
 
     def offer(self, request: Request, caller: Caller) -> bool:
         """Accept a call; return False if a call with this id is current already."""
-        if request.call in self.calls:
+        if request.call_id in self.calls:
             self.counts["offers_repeated"] += 1
             return False
         if self._seen_calls is not None:
-            self._seen_calls.add(request.call)
+            self._seen_calls.add(request.call_id)
         now = self.now_us()
-        call = self.calls[request.call] = Call(request, caller, now, request.deadline_us - ANSWER_MARGIN_US)
+        call = self.calls[request.call_id] = Call(request, caller, now, request.deadline_us - ANSWER_MARGIN_US)
         self.counts["calls_in_transit" if request.transit else "calls_fresh"] += 1
         if call.answer_by_us <= now:
             self.counts["offers_too_late"] += 1
@@ -114,7 +114,7 @@
         call.admission, call.label = verdict, verdict.label
         call.guard_timer = self.clock.call_at(call.answer_by_us, lambda: self._refuse_overdue(call))
         self._dispatch(io.CallOffered(
-            request.call, request.service, request.dest, request.number, request.deadline_us, request.width,
+            request.call_id, request.service, request.dest, request.number, request.deadline_us, request.width,
             request.tenant, request.transit, request.via, request.repeated, request.cut_before,
             verdict.constraint.tiers, verdict.constraint.never))
         return True
@@ -209,7 +209,7 @@
         lost = [call for call in self.calls_by_peer.get(peer, {}).values() if call.is_established]
         for call in lost:
             self._end_by_peer(call, AttemptEnd(io.Outcome.CUT))
-        return [call.request.call for call in lost]
+        return [call.request.call_id for call in lost]
 
     def on_group_state(self, peer: str, load: io.Load, ok: bool = True, delay_us: int = 0) -> None:
         """Called when a peer has reported the state of the trunk group towards it, or has answered a probe."""
@@ -346,17 +346,17 @@
 
     def _refuse_overdue(self, call: Call) -> None:
         """Refuse a call that the module has left unanswered, so that its faults cost no call its answer."""
-        if self.calls.get(call.request.call) is not call or call.is_established:
+        if self.calls.get(call.request.call_id) is not call or call.is_established:
             return
         self.counts["answers_by_guard"] += 1
         self._reject(call, FinalResult.REFUSED, RETRY_WAIT_US)
-        self._dispatch(io.CallerGone(call.request.call))
+        self._dispatch(io.CallerGone(call.request.call_id))
         if call.attempt is not None:
             self._cancel_attempt(call, io.Outcome.TIMEOUT, settled=True)
 
     def _cancel_attempt(self, call: Call, outcome: io.Outcome, settled: bool) -> None:
         if call.attempt is not None:
-            self.peers.cancel_set_up(call.attempt.peer, call.request.call)
+            self.peers.cancel_set_up(call.attempt.peer, call.request.call_id)
             self._end_attempt(call, AttemptEnd(outcome), settled)
 
     def _end_attempt(self, call: Call, end: AttemptEnd, settled: bool) -> None:
@@ -365,13 +365,13 @@
             return
         if attempt.timer is not None:
             attempt.timer.cancel()
-        self._remove_from_peer(attempt.peer, call.request.call)
+        self._remove_from_peer(attempt.peer, call.request.call_id)
         self.counts["attempts_" + end.outcome.value.replace(" ", "_")] += 1
         now = self.now_us()
         load = self._subtract_unseen_set_ups(attempt.peer, end.load)
         if end.outcome in POSSIBLY_EXECUTED:
             call.next_attempt_us = now + self.settings.release_us
-        self._dispatch(io.AttemptEnded(call.request.call, attempt.number, attempt.peer, end.outcome,
+        self._dispatch(io.AttemptEnded(call.request.call_id, attempt.number, attempt.peer, end.outcome,
                                        now - attempt.sent_us, settled, end.cause, 0, load))
 
     def _remove_from_peer(self, peer: str, call_id: str) -> None:
@@ -383,7 +383,7 @@
 
     def _end_by_peer(self, call: Call, end: AttemptEnd) -> None:
         """End an established call that its peer has released or cut, and release it towards its caller."""
-        call.caller.on_released(call.request.call,
+        call.caller.on_released(call.request.call_id,
                                 NORMAL_CLEARING if end.outcome is io.Outcome.OK else TEMPORARY_FAILURE)
         self._end_established(call, end)
 
@@ -391,7 +391,7 @@
         ended_normally = end.outcome is io.Outcome.OK
         self.counts["calls_ended" if ended_normally else "calls_cut"] += 1
         self._write_record(call, "ended" if ended_normally else "cut")
-        self.calls.pop(call.request.call, None)
+        self.calls.pop(call.request.call_id, None)
         if call.admission is not None:
             call.admission.notify_ended(call.request, self.now_us())
         self._end_attempt(call, end, settled=True)
@@ -400,13 +400,13 @@
         """End an unanswered call, and send its caller the one final answer: refused or failed."""
         self._end_unanswered(call, result)
         if result is FinalResult.REFUSED:
-            call.caller.on_refused(call.request.call, wait_us)
+            call.caller.on_refused(call.request.call_id, wait_us)
         else:
-            call.caller.on_failed(call.request.call)
+            call.caller.on_failed(call.request.call_id)
 
     def _end_unanswered(self, call: Call, result: FinalResult) -> None:
         self._cancel_timers(call)
-        self.calls.pop(call.request.call, None)
+        self.calls.pop(call.request.call_id, None)
         self.counts["final_" + result.value.replace(" ", "_")] += 1
         self._write_record(call, result.value)
         if call.admission is not None:
@@ -424,7 +424,7 @@
 
     def _write_record(self, call: Call, event: str) -> None:
         request = call.request
-        self.record(CallRecord(request.call, self.now_us(), event, request.service_name, request.number,
+        self.record(CallRecord(request.call_id, self.now_us(), event, request.service_name, request.number,
                            request.dest, request.transit, call.attempts,
                            call.attempt.peer if call.attempt else "", call.accepted_us,
                            call.label))
--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -107,7 +107,7 @@
 
     def send_set_up(self, request: Request, deadline_us: int) -> None:
         """Write a set-up; its deadline travels as the instant it is."""
-        self._tell(api.SetUp(request.call, request.service_name, request.number, request.dest, deadline_us // 1000,
+        self._tell(api.SetUp(request.call_id, request.service_name, request.number, request.dest, deadline_us // 1000,
                              request.description.decode("utf-8", "replace"),
                              request.width, request.dest != self.number(), again=request.cut_before))
 
--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -235,20 +235,20 @@
     def set_up(self, request: Request, deadline_us: int) -> None:
         """Send a set-up, once the connection is up."""
         if self.retired:
-            self.router.on_ended(self.name, request.call, AttemptEnd(io.Outcome.UNREACHABLE))
+            self.router.on_ended(self.name, request.call_id, AttemptEnd(io.Outcome.UNREACHABLE))
             return
         if self.connection is None:
-            self.waiting[request.call] = (request, deadline_us)
+            self.waiting[request.call_id] = (request, deadline_us)
             self.dial()
             return
         self.counts["peer_set_ups_sent"] += 1
         try:
             self.send_set_up(request, deadline_us)
         except ValueError as wrong:  # no message holds it: it costs this call, not the others of its caller
-            log.warning("set-up that cannot be sent", peer=self.name, call=request.call, error=str(wrong))
-            self.router.on_ended(self.name, request.call, AttemptEnd(io.Outcome.NUMBER_FAULT))
+            log.warning("set-up that cannot be sent", peer=self.name, call=request.call_id, error=str(wrong))
+            self.router.on_ended(self.name, request.call_id, AttemptEnd(io.Outcome.NUMBER_FAULT))
             return
-        self.open.add(request.call)
+        self.open.add(request.call_id)
 
     def release(self, call: str, cause: int) -> None:
         """Give up a set-up, or release a call that stands."""
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -112,7 +112,7 @@
     def send_set_up(self, request: Request, deadline_us: int) -> None:
         """Write a set-up; the wire tells the time left, so it is worked out last."""
         wait_ms = max(1, (deadline_us - self.clock.now_us()) // 1000)
-        self._write(wire.set_up(request.call, request.service_name, request.number, wait_ms,
+        self._write(wire.set_up(request.call_id, request.service_name, request.number, wait_ms,
                                 request.description))
 
     def send_release(self, call: str, cause: int, answered: bool) -> None:
--- a/benchmarks/narrowing.py
+++ b/benchmarks/narrowing.py
@@ -93,7 +93,7 @@
     def set_up(self, peer: str, request: Request, deadline_us: int) -> None:
         """The peers' port."""
         self.taken[peer] += 1
-        call = request.call
+        call = request.call_id
 
         def ends() -> None:
             self.taken[peer] -= 1
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -42,7 +42,7 @@
         """Return the supplied verdict, and record an admitted call."""
         verdict = self.verdict(request)
         if isinstance(verdict, Approval):
-            self.admitted.append(request.call)
+            self.admitted.append(request.call_id)
         return verdict
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
@@ -51,16 +51,16 @@
 
     def sent(self, token: object, request: Request, entry: io.Entry, now_us: int) -> None:
         """Record the set-up."""
-        self.sent_set_ups.append((request.call, entry.number))
+        self.sent_set_ups.append((request.call_id, entry.number))
 
     def final(self, token: object, request: Request, final: FinalResult, now_us: int) -> None:
         """Count the final result of the call."""
-        self.final_counts[request.call] += 1
+        self.final_counts[request.call_id] += 1
         self.notifications.append(f"{self.name} final")
 
     def over(self, token: object, request: Request, now_us: int) -> None:
         """Count the end of the call."""
-        self.end_counts[request.call] += 1
+        self.end_counts[request.call_id] += 1
         self.notifications.append(f"{self.name} over")
 
 
@@ -187,7 +187,7 @@
                 return None if share < 0.1 else Refusal("random", 1_000)
             tiers = tuple(source.choice([None, frozenset(source.sample(range(4), 2))])
                           for _ in range(source.randrange(3)))
-            self.constraints.setdefault(request.call, []).append(
+            self.constraints.setdefault(request.call_id, []).append(
                 constraint := RouteConstraint(tiers, frozenset(source.sample(range(4), source.randrange(2)))))
             return Approval(source.choice([None, None, 2]), constraint)
         self.constraints: dict[str, list[RouteConstraint]] = {}
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -74,17 +74,17 @@
     # the port to the peers
 
     def set_up(self, peer: str, request: Request, deadline_us: int) -> None:
-        if request.call in self.peer_by_call:
+        if request.call_id in self.peer_by_call:
             self.violations.append("attempts overlap")
-        if self.now - self.release_pending_since_us.get(request.call, 0) < 300_000:
+        if self.now - self.release_pending_since_us.get(request.call_id, 0) < 300_000:
             self.violations.append("resent before the release delay has passed")
         entry = self.router.roster.get(peer)
         if entry is None or entry.readiness is not io.Readiness.READY:
             self.violations.append("set-up sent to a peer that is draining or gone")
         if not self.now < deadline_us <= request.deadline_us:
             self.violations.append("deadline in the past or after the call's own")
-        self.set_ups.append((peer, request.call))
-        self.peer_by_call[request.call] = peer
+        self.set_ups.append((peer, request.call_id))
+        self.peer_by_call[request.call_id] = peer
 
     def cancel_set_up(self, peer: str, call: str) -> None:
         self.release(peer, call, NORMAL_CLEARING)
