--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -98,7 +98,7 @@
         """Bytes came from the peer."""
         self._heard_us, self._asked = self.clock.now_us(), False
 
-    def sound(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether the peer has been heard of late: silent ones are tested, and sound ones answer that."""
         return self.connection is not None and self.clock.now_us() - self._heard_us <= SILENT_US
 
--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -266,7 +266,7 @@
             for name, link in self.context.peers.links.items():
                 entry = self.router.roster.get(name)
                 if entry is not None:
-                    up.setdefault(entry.zone, []).append(link.sound())
+                    up.setdefault(entry.zone, []).append(link.is_healthy())
             for zone, links in up.items():
                 if links.count(False) >= CUT_SHARE * len(links):
                     zones = self.context.config.zones
