--- a/astertrack/app.py
+++ b/astertrack/app.py
@@ -126,7 +126,7 @@
         self.counts["reloads"] += 1
         log.info("configuration taken over", bulletin=address)
         if address:
-            self.bulletin.follow(address)
+            self.bulletin.switch_address(address)
 
     def stop(self) -> None:
         """Finish what is taken, and take what still comes, as the platform has it at a planned restart."""
@@ -151,7 +151,7 @@
             self.clock.call_at(self.clock.now_us() + CHECK_US, self._finish)
         elif self.reactor.running:
             for session in list(self.call_front.sessions) if self.call_front is not None else ():
-                session.go_away()
+                session.close_going_away()
             for connection in list(self.front.connections):
                 connection.close()
             self.clock.call_at(self.clock.now_us() + STORE_US, self._abandon_store)
--- a/astertrack/net/bulletin.py
+++ b/astertrack/net/bulletin.py
@@ -126,7 +126,7 @@
         self.counts["bulletin_dials"] += 1
         self.connector = self.clock.reactor.connectTCP(host, int(port), self, timeout=DIAL_US / 1e6)
 
-    def follow(self, address: str) -> None:
+    def switch_address(self, address: str) -> None:
         """Read on at another address, from the last event heard of.
 
         Guards a new configuration under load: the old address tells nothing more, though its connections stay
--- a/astertrack/net/control.py
+++ b/astertrack/net/control.py
@@ -37,7 +37,7 @@
 PIECES = 16  # of checking between two looks at the clock; a piece takes some 5 us
 READ_MOST = 8 * 1024  # octets read at one turn: the events in them are cut and digested at once, in some 2 ms
 STOP_READING, READ_ON = 1 << 20, 1 << 18  # octets that wait to be checked: above, nothing is read; below, it is again
-TICK_US = 100_000  # how often what time asks for is done
+TICK_INTERVAL_US = 100_000  # how often what time asks for is done
 
 
 class VersionStream(Conversation):
@@ -153,7 +153,7 @@
         self.outbox = Outbox(source)
         self.stream: VersionStream | None = None
         self.longest_turn_us = 0  # of checking and reading: what a call may have waited for it
-        self.swap_us: list[int] = []  # how long putting a version in force took, the latest 1,000
+        self.swap_durations_us: list[int] = []  # how long putting a version in force took, the latest 1,000
         self._full = self._working = self._stopped = False
         self._connector: Any = None
         self._silence: Timer | None = None
@@ -180,7 +180,7 @@
         elif self._connector is not None and self._connector.state == "connecting":
             self._connector.stopConnecting()
 
-    def follow(self, address: str) -> None:
+    def switch_address(self, address: str) -> None:
         """Read on at another address."""
         if address == self.address:
             return
@@ -195,11 +195,11 @@
             return
         began = time.perf_counter()
         self.versions.tick(self.clock.now_us())
-        self.carry_out()
+        self.execute_actions()
         self.check()
         self._tell()
         self.turned(began)
-        self.clock.call_at(self.clock.now_us() + TICK_US, self._tick)
+        self.clock.call_at(self.clock.now_us() + TICK_INTERVAL_US, self._tick)
 
     def turned(self, began: float) -> None:
         """Note how long a piece of work held the reactor."""
@@ -255,7 +255,7 @@
         if self._silence is not None:
             self._silence.cancel()
         self.versions.broken()
-        self.carry_out()
+        self.execute_actions()
         if self.clock.now_us() - self._begun_us > SOUND_US:
             self._failures = 0
         self._again()
@@ -284,7 +284,7 @@
             case Malformed(reason):
                 self.counts["control_malformed"] += 1
                 log.warning("control service sent what cannot be read", reason=reason)
-        self.carry_out()
+        self.execute_actions()
         self.check()
 
     # ---- checking
@@ -307,7 +307,7 @@
         until, now = began + TURN_US / 1e6, self.clock.now_us()
         while self._pieces(now) and time.perf_counter() < until:
             pass
-        self.carry_out()
+        self.execute_actions()
         self.turned(began)
         self.check()
 
@@ -318,11 +318,11 @@
             if not self.versions.work(now_us):
                 return False
             if self.versions.in_force is not in_force:  # that piece put a version in force
-                self.swap_us.append(int((time.perf_counter() - began) * 1e6))
-                del self.swap_us[:-1000]
+                self.swap_durations_us.append(int((time.perf_counter() - began) * 1e6))
+                del self.swap_durations_us[:-1000]
         return True
 
-    def carry_out(self) -> None:
+    def execute_actions(self) -> None:
         """Do what the versions ask for."""
         for action in self.versions.take():
             self._do(action)
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -35,7 +35,7 @@
 
 
 @lru_cache(maxsize=2048)
-def load(report: str) -> io.Load:
+def parse_load_report(report: str) -> io.Load:
     """Translate a report, whichever of the two names its figures bear."""
     return read_load({FIELDS.get(name, name): value for name, value in parse_figures(report).items()})
 
@@ -155,15 +155,15 @@
                 self.counts[f"peer_releases_cause_{cause}"] += 1
                 self.open.discard(call)
                 outcome = OUTCOMES.get(cause, io.Outcome.NUMBER_FAULT)
-                end = AttemptEnd(outcome, NOTES.get(note, io.Cause.NONE), load(report))
+                end = AttemptEnd(outcome, NOTES.get(note, io.Cause.NONE), parse_load_report(report))
                 self.router.on_ended(self.name, call, end)
             case wire.GroupState(report):
                 self.counts["peer_group_states"] += 1
-                self.router.on_group_state(self.name, load(report))
+                self.router.on_group_state(self.name, parse_load_report(report))
             case wire.Tested(call, passed, report):
                 if (test := self.tests.pop(call, None)) is not None:
                     test[1].cancel()
-                    self.router.on_group_state(self.name, load(report), passed, self.clock.now_us() - test[0])
+                    self.router.on_group_state(self.name, parse_load_report(report), passed, self.clock.now_us() - test[0])
 
     def _write(self, data: bytes) -> None:
         if self.connection is not None:
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -241,7 +241,7 @@
             self.machine.ping()
             self.write(self.machine.take())
 
-    def go_away(self) -> None:
+    def close_going_away(self) -> None:
         """The router stops: say so."""
         self.machine.close(ws.CloseCode.GOING_AWAY)
         self.write(self.machine.take())
--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -19,7 +19,7 @@
 from astertrack.checking import split_validation_error
 from astertrack.config import ConfigError, split_address
 from astertrack.core import Approval, FinalResult, Policy, Refusal, Request, RouteConstraint, Router
-from astertrack.net.control import TICK_US, ControlClient
+from astertrack.net.control import TICK_INTERVAL_US, ControlClient
 from astertrack.parts import read_toml
 from astertrack.parts.model import PartContext
 from astertrack.plan import Asked, Desk, Passed, Plan, Refused, Turned, build, write_line
@@ -224,7 +224,7 @@
         self.versions.end(now)
         while self.versions.work(now):
             pass
-        self.client.carry_out()
+        self.client.execute_actions()
 
     def reload(self) -> None:
         """Follow the service and read the plan file that the settings now name."""
@@ -236,7 +236,7 @@
             log.warning("settings not taken over", error=str(wrong))
             return
         self.settings = settings
-        self.client.follow(settings.service.address)
+        self.client.switch_address(settings.service.address)
         if offered is not None:
             self._offer(*offered)
 
@@ -252,8 +252,9 @@
         counts["control_longest_turn_us"] = client.longest_turn_us
         counts["control_reports_waiting"] = len(client.outbox)
         counts["control_reports_lost"] = client.outbox.lost
-        if client.swap_us:
-            counts["versions_swap_p99_us"] = sorted(client.swap_us)[int(0.99 * (len(client.swap_us) - 1))]
+        if client.swap_durations_us:
+            counts["versions_swap_p99_us"] = sorted(client.swap_durations_us)[
+                int(0.99 * (len(client.swap_durations_us) - 1))]
 
     # ---- zones
 
@@ -271,7 +272,7 @@
                 if links.count(False) >= CUT_SHARE * len(links):
                     zones = self.context.config.zones
                     self.versions.disturbed(zones[zone] if 0 <= zone < len(zones) else "")
-        self.context.clock.call_at(self.context.clock.now_us() + TICK_US, self._watch)
+        self.context.clock.call_at(self.context.clock.now_us() + TICK_INTERVAL_US, self._watch)
 
     # ---- the store
 
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from wires import CALLS, CUTS, check_any_split, feed
 
-from astertrack.net.peers import load
+from astertrack.net.peers import parse_load_report
 from astertrack.wire import peer, sip, sse
 from astertrack.wire.common import MAX_MESSAGE_BYTES, Malformed, MalformedError, parse_figures, parse_integer
 from ospreylug import interface as io
@@ -105,9 +105,10 @@
 
 
 def test_reports_are_read_under_either_name_and_nonsense_is_left_out() -> None:
-    assert load("x0:3;x1:9;eps:0.25") == load("free:3;size:9;hold_back:0.25") == io.Load(3, 9, hold_back=0.25)
+    assert (parse_load_report("x0:3;x1:9;eps:0.25") == parse_load_report("free:3;size:9;hold_back:0.25")
+            == io.Load(3, 9, hold_back=0.25))
     assert parse_figures("x0:nan;x1:inf;;:;queue:7") == {"queue": 7}
-    assert load("x0:-1;x1:40").free is None
+    assert parse_load_report("x0:-1;x1:40").free is None
 
 
 @given(st.lists(st.tuples(st.integers(0, 99), st.text("ab{}é", min_size=1, max_size=20)), max_size=4),
