--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 
 from astertrack.core import NORMAL_CLEARING, AttemptEnd, Request
-from astertrack.net.base import Conversation
+from astertrack.net.base import StreamProtocol
 from astertrack.net.links import Link
 from astertrack.wire import callapi as api
 from astertrack.wire import websocket as ws
@@ -22,7 +22,7 @@
            "lines-busy": io.Cause.LINES_BUSY}
 
 
-class ApiConnection(Conversation):
+class ApiConnection(StreamProtocol):
     """One socket to a destination."""
 
     def __init__(self, link: ApiLink) -> None:
--- a/astertrack/net/base.py
+++ b/astertrack/net/base.py
@@ -11,10 +11,10 @@
 from astertrack.core.model import Clock
 
 
-class Conversation(Protocol):
+class StreamProtocol(Protocol):
     """A connection that can be written to and closed at any time, whether it is up or not."""
 
-    choked_us: int | None = None  # since when the other end does not read
+    write_blocked_since_us: int | None = None  # since when the other end does not read
     done = False  # given up or ended: what still comes on it means nothing
 
     def connectionMade(self) -> None:
@@ -47,7 +47,7 @@
     Bounds what waits to be written. Since when that is so stands in choked_us, for whoever gives it up.
     """
 
-    def __init__(self, conversation: Conversation, clock: Clock, paused: Callable[[], None]) -> None:
+    def __init__(self, conversation: StreamProtocol, clock: Clock, paused: Callable[[], None]) -> None:
         self.conversation, self.clock, self.paused = conversation, clock, paused
 
     def _pass_on(self, name: str) -> None:
@@ -57,13 +57,13 @@
 
     def pauseProducing(self) -> None:
         """Too much is waiting to be written."""
-        self.conversation.choked_us = self.clock.now_us()
+        self.conversation.write_blocked_since_us = self.clock.now_us()
         self.paused()
         self._pass_on("pauseProducing")
 
     def resumeProducing(self) -> None:
         """It has been written."""
-        self.conversation.choked_us = None
+        self.conversation.write_blocked_since_us = None
         self._pass_on("resumeProducing")
 
     def stopProducing(self) -> None:
--- a/astertrack/net/bulletin.py
+++ b/astertrack/net/bulletin.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from astertrack.core.model import Timer
-from astertrack.net.base import Conversation
+from astertrack.net.base import StreamProtocol
 from astertrack.net.clock import ReactorClock
 from astertrack.net.peers import Endpoint
 from astertrack.wire import sse
@@ -50,7 +50,7 @@
         raise MalformedError(f"bulletin event: {wrong!r}") from None
 
 
-class Reading(Conversation):
+class Reading(StreamProtocol):
     """One connection to the bulletin."""
 
     def __init__(self, bulletin: Bulletin) -> None:
--- a/astertrack/net/callers.py
+++ b/astertrack/net/callers.py
@@ -15,7 +15,7 @@
 
 from astertrack.core import Request, Router
 from astertrack.core.model import Clock
-from astertrack.net.base import Conversation, Throttle
+from astertrack.net.base import StreamProtocol, Throttle
 from astertrack.wire import sip
 from astertrack.wire.common import Malformed, MalformedError, parse_figures
 
@@ -121,7 +121,7 @@
             self._send(call, release)
 
 
-class CallerConnection(Conversation):
+class CallerConnection(StreamProtocol):
     """One connection; the core's Caller for the calls that came on it."""
 
     def __init__(self, front: CallerFront) -> None:
@@ -159,7 +159,7 @@
         """Drop the connection, and count it as ended now: many may come before its end is noticed."""
         self.front.connections.pop(self, None)
         self.ending_us = self.front.clock.now_us()
-        if self.choked_us is None:
+        if self.write_blocked_since_us is None:
             self.close()  # an abort could take with it what the caller has not read yet
         else:
             self.abort()
@@ -169,7 +169,7 @@
 
     def usable(self) -> bool:
         """Whether what is written here has a chance to be read."""
-        return self.ending_us is None and self.choked_us is None
+        return self.ending_us is None and self.write_blocked_since_us is None
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Twisted's hook: its callers have given up what is open on it; calls that stand go on."""
@@ -184,7 +184,7 @@
         if self.ending_us is not None:
             if now - self.ending_us > END_US:
                 self.abort()
-        elif self.choked_us is not None and now - self.choked_us > CHOKED_US:
+        elif self.write_blocked_since_us is not None and now - self.write_blocked_since_us > CHOKED_US:
             self.counts["sip_closed_unread"] += 1
             self.abort()
         elif not self.spoken and now - self.quiet_us > SPEAK_US:
--- a/astertrack/net/clock.py
+++ b/astertrack/net/clock.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class Later:
+class ScheduledCall:
     """One thing to be done at an instant, never before it.
 
     Done or cancelled, it lets go of everything: timers and calls that hold each other are left to the garbage
@@ -52,6 +52,6 @@
         """Return the present instant in microseconds."""
         return time.time_ns() // 1000
 
-    def call_at(self, when_us: int, callback: Callable[[], None]) -> Later:
-        """Call the callback at an instant, never before it."""
-        return Later(self, when_us, callback)
+    def call_at(self, when_us: int, do: Callable[[], None]) -> ScheduledCall:
+        """Call do at an instant."""
+        return ScheduledCall(self, when_us, do)
--- a/astertrack/net/control.py
+++ b/astertrack/net/control.py
@@ -18,7 +18,7 @@
 from twisted.python.failure import Failure
 
 from astertrack.core.model import Timer
-from astertrack.net.base import Conversation, failed_as
+from astertrack.net.base import StreamProtocol, failed_as
 from astertrack.net.clock import ReactorClock
 from astertrack.versions import Action, AskFull, Keep, Note, Outbox, Point, Report, Tell, Versions
 from astertrack.versions.offering import write_reports
@@ -40,7 +40,7 @@
 TICK_INTERVAL_US = 100_000  # how often what time asks for is done
 
 
-class VersionStream(Conversation):
+class VersionStream(StreamProtocol):
     """One connection on which versions come."""
 
     def __init__(self, client: ControlClient) -> None:
@@ -90,7 +90,7 @@
             self.client.ended(self)
 
 
-class StatusMessage(Conversation):
+class StatusMessage(StreamProtocol):
     """One connection on which one batch of reports is told."""
 
     def __init__(self, client: ControlClient, batch: tuple[Report, ...]) -> None:
@@ -130,10 +130,10 @@
 
     noisy = False
 
-    def __init__(self, make: Callable[[], Conversation], failed: Callable[[], None]) -> None:
+    def __init__(self, make: Callable[[], StreamProtocol], failed: Callable[[], None]) -> None:
         self.make, self.failed = make, failed
 
-    def buildProtocol(self, addr: IAddress | None) -> Conversation:
+    def buildProtocol(self, addr: IAddress | None) -> StreamProtocol:
         """Twisted's hook for a connection that came up."""
         return self.make()
 
@@ -352,7 +352,7 @@
         self.counts["control_status_sent"] += 1
         host, _, port = self.address.rpartition(":")
 
-        def make() -> Conversation:
+        def make() -> StreamProtocol:
             message = StatusMessage(self, batch)
             self.clock.call_at(self.clock.now_us() + ANSWER_US, message.overdue)
             return message
--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -15,7 +15,7 @@
 
 from astertrack.core import NORMAL_CLEARING, TEMPORARY_FAILURE, AttemptEnd, Request, Router
 from astertrack.core.model import Timer
-from astertrack.net.base import Conversation, failed_as
+from astertrack.net.base import StreamProtocol, failed_as
 from astertrack.net.clock import ReactorClock
 from ospreylug import interface as io
 
@@ -30,7 +30,7 @@
 OWED_US = 250_000  # how long the end of a broken set-up is worth telling: it may be sent again after 300 ms
 
 
-class Dialler(ClientFactory):
+class DialFactory(ClientFactory):
     """One attempt to connect."""
 
     noisy = False
@@ -58,7 +58,7 @@
     clock: ReactorClock
     counts: Counter[str]
     dial_us: int  # a connection not up after so long has failed
-    connection: Conversation | None = None
+    connection: StreamProtocol | None = None
     retired: bool = False
     waiting: dict[str, tuple[Request, int]] = field(default_factory=dict)  # set-ups for when it is up
     open: set[str] = field(default_factory=set)  # set-ups written on the connection and not ended
@@ -73,7 +73,7 @@
 
     # ---- what the kinds say
 
-    def converse(self) -> Conversation:
+    def converse(self) -> StreamProtocol:
         """Make the protocol of a new connection; it calls connected and disconnected."""
         raise NotImplementedError
 
@@ -126,13 +126,13 @@
         host, _, port = self.address.rpartition(":")
         self.counts["peer_dials"] += 1
         self._dialling = self.clock.reactor.connectTCP(
-            host, int(port), Dialler(self.converse, self.dial_failed), timeout=self.dial_us / 1e6)
+            host, int(port), DialFactory(self.converse, self.dial_failed), timeout=self.dial_us / 1e6)
 
     def wanted(self) -> bool:
         """Whether the connection serves a purpose: calls that stand are heard of on it."""
         return not self.retired
 
-    def connected(self, connection: Conversation) -> None:
+    def connected(self, connection: StreamProtocol) -> None:
         """The connection is up: send what waits for it."""
         if self.retired:
             connection.done = True
@@ -163,16 +163,16 @@
             self.router.on_ended(self.name, call, AttemptEnd(io.Outcome.UNREACHABLE))
         self._dial_later()
 
-    def disconnected(self, connection: Conversation, reason: Failure) -> None:
+    def disconnected(self, connection: StreamProtocol, reason: Failure) -> None:
         """The connection has ended, and with it the set-ups that were open on it."""
         self.leave(connection, "peer_closes" if failed_as(reason, ConnectionDone) else "peer_resets")
 
-    def drop(self, connection: Conversation) -> None:
+    def drop(self, connection: StreamProtocol) -> None:
         """Give up a connection on which something came spoilt or cut off: no more can be read on it."""
         connection.abort()
         self.leave(connection, "peer_drops")
 
-    def leave(self, connection: Conversation, why: str = "peer_closes") -> None:
+    def leave(self, connection: StreamProtocol, why: str = "peer_closes") -> None:
         """Count a connection as ended now: its close may wait, and set-ups must not be sent on it."""
         if connection.done:
             return
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -13,7 +13,7 @@
 
 from astertrack.core import NORMAL_CLEARING, TEMPORARY_FAILURE, AttemptEnd, Request
 from astertrack.core.model import Clock, Timer
-from astertrack.net.base import Conversation
+from astertrack.net.base import StreamProtocol
 from astertrack.net.links import WATCH_US, Link
 from astertrack.wire import peer as wire
 from astertrack.wire.common import Malformed, MalformedError, parse_figures
@@ -40,7 +40,7 @@
     return read_load({FIELDS.get(name, name): value for name, value in parse_figures(report).items()})
 
 
-class PeerConnection(Conversation):
+class PeerConnection(StreamProtocol):
     """One connection to a peer."""
 
     def __init__(self, link: PeerLink) -> None:
--- a/astertrack/net/versionserver.py
+++ b/astertrack/net/versionserver.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]  # it has no stubs
 
-from astertrack.net.base import Conversation
+from astertrack.net.base import StreamProtocol
 from astertrack.net.clock import ReactorClock
 from astertrack.versions import Document, Report, VersionId, write_header
 from astertrack.versions.offering import Catalogue, Ledger, read_reports
@@ -27,7 +27,7 @@
 
 
 @implementer(IPullProducer)
-class Router(Conversation):
+class Router(StreamProtocol):
     """One connection: a stream of versions, or one message of status."""
 
     def __init__(self, service: VersionService) -> None:
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 
 from astertrack.core import Request, Router
-from astertrack.net.base import Conversation, Throttle
+from astertrack.net.base import StreamProtocol, Throttle
 from astertrack.net.clock import ReactorClock
 from astertrack.wire import callapi as api
 from astertrack.wire import websocket as ws
@@ -168,7 +168,7 @@
         self._tell(call, api.Released(call, cause))
 
 
-class Session(Conversation):
+class Session(StreamProtocol):
     """One client's socket."""
 
     def __init__(self, front: CallFront) -> None:
@@ -230,7 +230,7 @@
 
     def check(self, now_us: int) -> None:
         """Ask a silent socket for a sign of life, and give one up that has been silent for long."""
-        choked = self.choked_us is not None and now_us - self.choked_us > CHOKED_US
+        choked = self.write_blocked_since_us is not None and now_us - self.write_blocked_since_us > CHOKED_US
         if choked or now_us - self.heard_us > SILENT_US:
             self.abort()
         elif self.partial_us is not None and now_us - self.partial_us > WHOLE_US:
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -9,13 +9,13 @@
 import pytest
 from twisted.internet.task import Clock
 
-from astertrack.net.clock import Later, ReactorClock
+from astertrack.net.clock import ReactorClock, ScheduledCall
 
 
 class Held:
     """A call that holds its timer, as its timer holds it."""
 
-    timer: Later | None = None
+    timer: ScheduledCall | None = None
 
     def due(self) -> None:
         """Nothing is done."""
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("end", [lambda clock, timer: clock.advance(2), lambda clock, timer: timer.cancel()])
 def test_a_timer_that_is_over_leaves_nothing_to_the_garbage_collector(
-        end: Callable[[Clock, Later], None]) -> None:
+        end: Callable[[Clock, ScheduledCall], None]) -> None:
     reactor = Clock()
     clock, held = Steady(reactor), Held()
     gc.disable()
