--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -35,7 +35,7 @@
         self.machine.connect()
         self.write(self.machine.take())
         clock = self.link.clock
-        clock.call_at(clock.now_us() + self.link.dial_us, self._overdue)
+        clock.call_at(clock.now_us() + self.link.dial_timeout_us, self._overdue)
 
     def _overdue(self) -> None:
         """Guards against a server that never shakes hands: nothing would dial again."""
@@ -44,24 +44,24 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Twisted's hook: bytes came."""
-        if self.done:
+        if self.is_closed:
             return
-        self.link.alive()
+        self.link.record_activity()
         for event in self.machine.receive(data):
             match event:
                 case ws.Opened():
-                    self.link.connected(self)
+                    self.link.on_connected(self)
                 case ws.Text(raw):
                     self._text(raw)
                 case ws.Closed():
                     self.write(self.machine.take())
                     self.close()
-                    self.link.leave(self)
+                    self.link.mark_ended(self)
                 case Malformed(reason):
                     self.link.counts["peer_malformed"] += 1
                     log.warning("destination sent what cannot be read", peer=self.link.name, reason=reason)
-                    self.link.drop(self)
-            if self.done:
+                    self.link.abort_connection(self)
+            if self.is_closed:
                 return
         self.write(self.machine.take())
 
@@ -74,7 +74,7 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Twisted's hook: the connection has ended."""
-        self.link.disconnected(self, reason)
+        self.link.on_disconnected(self, reason)
 
     def ping(self) -> None:
         """Ask for a sign of life."""
@@ -93,9 +93,9 @@
 
     path: str = "/calls"
     # Not tried again there: the API's servers remember an id that was given up, and never set it up twice.
-    broken: io.Outcome = io.Outcome.NUMBER_FAULT
+    connection_lost_outcome: io.Outcome = io.Outcome.NUMBER_FAULT
 
-    def converse(self) -> ApiConnection:
+    def build_connection(self) -> ApiConnection:
         """Make the protocol of a new connection."""
         return ApiConnection(self)
 
@@ -127,7 +127,7 @@
             self.connection.ping()
         self.clock.call_at(self.clock.now_us(), lambda: self.router.on_group_state(self.name, io.Load(), ok=up))
 
-    def resumed(self) -> None:
+    def resume_calls(self) -> None:
         """Ask for what became of the calls that stand."""
         for call, held in self.router.calls_by_peer.get(self.name, {}).items():
             if held.is_established:
@@ -138,7 +138,7 @@
         self.counts["peer_" + api.NAMES[type(message)]] += 1
         match message:
             case api.Answer(call, description):
-                self.open.discard(call)
+                self.outstanding_set_ups.discard(call)
                 self.router.on_answered(self.name, call, description.encode())
             case api.Refused(call, _, reason):
                 self._over(call, io.Outcome.TURNED_AWAY, REASONS.get(reason, io.Cause.NONE))
@@ -156,5 +156,5 @@
                 self.router.on_group_state(self.name, io.Load(free=free, size=size, hold_back=hold_back))
 
     def _over(self, call: str, outcome: io.Outcome, cause: io.Cause = io.Cause.NONE) -> None:
-        self.open.discard(call)
+        self.outstanding_set_ups.discard(call)
         self.router.on_ended(self.name, call, AttemptEnd(outcome, cause))
--- a/astertrack/net/base.py
+++ b/astertrack/net/base.py
@@ -15,7 +15,7 @@
     """A connection that can be written to and closed at any time, whether it is up or not."""
 
     write_blocked_since_us: int | None = None  # since when the other end does not read
-    done = False  # given up or ended: what still comes on it means nothing
+    is_closed = False  # given up or ended: what still comes on it means nothing
 
     def connectionMade(self) -> None:
         """Twisted's hook: the connection is up. Messages are small and wanted at once."""
--- a/astertrack/net/control.py
+++ b/astertrack/net/control.py
@@ -57,36 +57,36 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Twisted's hook: bytes came."""
-        if self.done:
+        if self.is_closed:
             return
         began = time.perf_counter()
         self.client.alive()
         for event in self.machine.receive(data):
             self.client.heard(event)
-            if self.done:
+            if self.is_closed:
                 break
-        if self.machine.ended and not self.done:
+        if self.machine.ended and not self.is_closed:
             self.leave()
         self.client.turned(began)
 
     def pause(self, paused: bool) -> None:
         """Stop reading, or go on."""
         transport: Any = self.transport
-        if paused is not self.paused and transport is not None and not self.done:
+        if paused is not self.paused and transport is not None and not self.is_closed:
             self.paused = paused
             (transport.pauseProducing if paused else transport.resumeProducing)()
 
     def leave(self) -> None:
         """Drop the connection, and count it as ended now."""
-        if not self.done:
-            self.done = True
+        if not self.is_closed:
+            self.is_closed = True
             self.abort()
             self.client.ended(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Twisted's hook: the connection has ended."""
-        if not self.done:
-            self.done = True
+        if not self.is_closed:
+            self.is_closed = True
             self.client.ended(self)
 
 
@@ -105,23 +105,23 @@
     def dataReceived(self, data: bytes) -> None:
         """Twisted's hook: bytes came."""
         answer = self.reader.receive(data)
-        if answer is None or self.done:
+        if answer is None or self.is_closed:
             return
-        self.done = True
+        self.is_closed = True
         self.client.told(self.batch, 0 if isinstance(answer, Malformed) else answer.status)
         self.abort()
 
     def overdue(self) -> None:
         """No answer came in time: it may have been heard, and is told again."""
-        if not self.done:
-            self.done = True
+        if not self.is_closed:
+            self.is_closed = True
             self.client.told(self.batch, 0)
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Twisted's hook: the connection has ended, perhaps before an answer."""
-        if not self.done:
-            self.done = True
+        if not self.is_closed:
+            self.is_closed = True
             self.client.told(self.batch, 0)
 
 
--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -1,4 +1,4 @@
-"""The way to one peer: a connection kept up while the peer is in service or holds calls of ours."""
+"""The link to one peer: a connection that is kept up while the peer is in service or has calls of this router."""
 
 from __future__ import annotations
 
@@ -20,245 +20,262 @@
 from ospreylug import interface as io
 
 log = structlog.get_logger()
-REDIAL_US = 250_000  # between dials to a peer that does not answer
-YOUNG_US = 100_000  # a connection that ended so soon is not dialled again at once
-REFUSALS = 2  # dials refused in a row: one may be a mishap, as a reset may be; two are a process that is gone
-QUIET_US = 250_000  # a peer from which nothing came for so long is tested: usually it tells of its groups
-SILENT_US = 650_000  # and without a word to that its connection is given up: another may work
-LOST_US = 6_750_000  # calls that stood there are released: they must be 8 s after their end, if unheard
-WATCH_US = 100_000  # how often it is looked
-OWED_US = 250_000  # how long the end of a broken set-up is worth telling: it may be sent again after 300 ms
+REDIAL_INTERVAL_US = 250_000  # between dials to a peer that does not answer
+MIN_CONNECTED_US = 100_000  # a connection that ended sooner is not redialled immediately
+# Consecutive refused dials after which the peer's process counts as gone. One refusal can be an accident, as a reset
+# can.
+REFUSED_DIALS_UNTIL_LOST = 2
+KEEPALIVE_IDLE_US = 250_000  # without received bytes until a probe is sent; healthy peers report their trunk groups
+UNRESPONSIVE_TIMEOUT_US = 650_000  # without received bytes, despite the probe, until the connection is dropped
+# Without received bytes until the established calls at the peer are released. A call whose end was not noticed has to
+# be released within 8 s of its end.
+PEER_LOST_TIMEOUT_US = 6_750_000
+LIVENESS_CHECK_INTERVAL_US = 100_000
+# How long the release of a set-up whose connection was lost is worth sending: after 300 ms the set-up may be sent
+# again.
+PENDING_RELEASE_TIMEOUT_US = 250_000
 
 
 class DialFactory(ClientFactory):
-    """One attempt to connect."""
+    """Factory of one connection attempt."""
 
     noisy = False
 
-    def __init__(self, make: Callable[[], Protocol], failed: Callable[[bool], None]) -> None:
-        self.make, self.failed = make, failed
+    def __init__(self, build_connection: Callable[[], Protocol], on_failure: Callable[[bool], None]) -> None:
+        self.build_connection, self.on_failure = build_connection, on_failure
 
     def buildProtocol(self, addr: IAddress | None) -> Protocol:
-        """Twisted's hook for a connection that came up."""
-        return self.make()
+        """Called by Twisted when the connection is established."""
+        return self.build_connection()
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """Twisted's hook for one that did not."""
-        if not failed_as(reason, UserError):  # stopped by ourselves
-            self.failed(failed_as(reason, ConnectionRefusedError))
+        """Called by Twisted when the connection cannot be established."""
+        if not failed_as(reason, UserError):  # UserError: this router stopped the attempt
+            self.on_failure(failed_as(reason, ConnectionRefusedError))
 
 
 @dataclass(eq=False)
 class Link:
-    """What is known of the way to one peer. Its kinds say how it is spoken to."""
+    """State of the link to one peer. Subclasses implement the protocol that the peer speaks."""
 
     name: str
     address: str
     router: Router
     clock: ReactorClock
     counts: Counter[str]
-    dial_us: int  # a connection not up after so long has failed
+    dial_timeout_us: int
     connection: StreamProtocol | None = None
     retired: bool = False
-    waiting: dict[str, tuple[Request, int]] = field(default_factory=dict)  # set-ups for when it is up
-    open: set[str] = field(default_factory=set)  # set-ups written on the connection and not ended
-    owed: list[tuple[str, int, bool, int]] = field(default_factory=list)  # releases for when it is up, since
-    broken: io.Outcome = io.Outcome.CUT  # how set-ups end whose connection did
-    _dialling: Any = None
-    _refusals: int = 0
-    _up_us: int = 0
-    _heard_us: int = 0  # when the latest bytes came
-    _asked: bool = False  # whether it was tested since
-    _redial: Timer | None = None
-
-    # ---- what the kinds say
-
-    def converse(self) -> StreamProtocol:
-        """Make the protocol of a new connection; it calls connected and disconnected."""
+    # Set-ups, with their deadlines, that wait for the connection.
+    queued_set_ups: dict[str, tuple[Request, int]] = field(default_factory=dict)
+    outstanding_set_ups: set[str] = field(default_factory=set)  # sent on the connection and neither answered nor ended
+    # Releases that wait for the connection: call, cause, whether the call was answered, since when.
+    pending_releases: list[tuple[str, int, bool, int]] = field(default_factory=list)
+    connection_lost_outcome: io.Outcome = io.Outcome.CUT  # of set-ups whose connection is lost
+    _connector: Any = None
+    _refused_dials: int = 0
+    _connected_us: int = 0
+    _last_received_us: int = 0
+    _probe_sent: bool = False  # since the last bytes were received
+    _redial_timer: Timer | None = None
+
+    # ---- implemented by subclasses
+
+    def build_connection(self) -> StreamProtocol:
+        """Build the protocol of a new connection, which calls on_connected and on_disconnected."""
         raise NotImplementedError
 
     def send_set_up(self, request: Request, deadline_us: int) -> None:
-        """Write a set-up."""
+        """Send a set-up."""
         raise NotImplementedError
 
     def send_release(self, call: str, cause: int, answered: bool) -> None:
-        """Write that a set-up is given up or, where it was answered, that the call is released."""
+        """Send the cancellation of a set-up or, if it was answered, the release of the call."""
         raise NotImplementedError
 
     def probe(self) -> None:
-        """Test the peer."""
+        """Send a probe to the peer."""
         raise NotImplementedError
 
-    def resumed(self) -> None:
-        """The connection is up again: ask for what became of the calls that stand."""
+    def resume_calls(self) -> None:
+        """Called after a reconnect, to ask the peer for the state of the established calls."""
 
     # ---- the connection
 
-    def alive(self) -> None:
-        """Bytes came from the peer."""
-        self._heard_us, self._asked = self.clock.now_us(), False
+    def record_activity(self) -> None:
+        """Record that bytes were received from the peer."""
+        self._last_received_us, self._probe_sent = self.clock.now_us(), False
 
     def is_healthy(self) -> bool:
-        """Whether the peer has been heard of late: silent ones are tested, and sound ones answer that."""
-        return self.connection is not None and self.clock.now_us() - self._heard_us <= SILENT_US
+        """Return whether the peer is connected and sent bytes recently.
 
-    def watch(self) -> None:
-        """Notice a peer that says nothing: a connection may stay open though nothing comes on it any more.
+        An unresponsive peer is probed, and a healthy one answers the probe.
+        """
+        return self.connection is not None and self.clock.now_us() - self._last_received_us <= UNRESPONSIVE_TIMEOUT_US
+
+    def check_liveness(self) -> None:
+        """Probe an unresponsive peer, drop its connection and finally release its calls.
 
-        Guards the set-ups behind it, and the calls that stand there: they end unheard, and are to be released
-        towards their callers all the same.
+        A connection can stay open although nothing arrives on it any more. This protects outstanding set-ups, and
+        established calls: their ends go unnoticed, and they still have to be released towards their callers.
         """
         now = self.clock.now_us()
-        if self.connection is not None and now - max(self._heard_us, self._up_us) > SILENT_US:
+        if self.connection is not None and now - max(self._last_received_us,
+                                                     self._connected_us) > UNRESPONSIVE_TIMEOUT_US:
             self.counts["peer_silent"] += 1
-            self.drop(self.connection)
-        elif self.connection is not None and now - self._heard_us > QUIET_US and not self._asked:
-            self._asked = True
+            self.abort_connection(self.connection)
+        elif self.connection is not None and now - self._last_received_us > KEEPALIVE_IDLE_US and not self._probe_sent:
+            self._probe_sent = True
             self.probe()
-        if now - self._heard_us > LOST_US and (calls := self.router.on_peer_lost(self.name)):
-            log.warning("calls at a silent peer are given up", peer=self.name, calls=len(calls))
-            self.owed += [(call, TEMPORARY_FAILURE, True, now) for call in calls]
+        if now - self._last_received_us > PEER_LOST_TIMEOUT_US and (calls := self.router.on_peer_lost(self.name)):
+            log.warning("releasing calls at an unresponsive peer", peer=self.name, calls=len(calls))
+            self.pending_releases += [(call, TEMPORARY_FAILURE, True, now) for call in calls]
 
     def dial(self) -> None:
-        """Connect, unless a connection is up or coming."""
-        if self.connection is not None or self._dialling is not None or not self.wanted():
+        """Connect, unless a connection is established or under way."""
+        if self.connection is not None or self._connector is not None or not self.is_wanted():
             return
         host, _, port = self.address.rpartition(":")
         self.counts["peer_dials"] += 1
-        self._dialling = self.clock.reactor.connectTCP(
-            host, int(port), DialFactory(self.converse, self.dial_failed), timeout=self.dial_us / 1e6)
+        self._connector = self.clock.reactor.connectTCP(
+            host, int(port), DialFactory(self.build_connection, self.on_dial_failed),
+            timeout=self.dial_timeout_us / 1e6)
 
-    def wanted(self) -> bool:
-        """Whether the connection serves a purpose: calls that stand are heard of on it."""
+    def is_wanted(self) -> bool:
+        """Return whether the link needs a connection; the ends of established calls arrive on it."""
         return not self.retired
 
-    def connected(self, connection: StreamProtocol) -> None:
-        """The connection is up: send what waits for it."""
+    def on_connected(self, connection: StreamProtocol) -> None:
+        """Send what waits for the connection, now that it is established."""
         if self.retired:
-            connection.done = True
+            connection.is_closed = True
             connection.abort()
             return
-        self.connection, self._dialling, self._refusals = connection, None, 0
-        self._up_us = now = self.clock.now_us()
+        self.connection, self._connector, self._refused_dials = connection, None, 0
+        self._connected_us = now = self.clock.now_us()
         self.counts["peer_connections"] += 1
-        owed, self.owed = self.owed, []
-        for call, cause, answered, since_us in owed:
-            if answered or now - since_us < OWED_US:
+        pending_releases, self.pending_releases = self.pending_releases, []
+        for call, cause, answered, since_us in pending_releases:
+            if answered or now - since_us < PENDING_RELEASE_TIMEOUT_US:
                 self.send_release(call, cause, answered)
-        self.resumed()
-        waiting, self.waiting = self.waiting, {}
-        for request, deadline_us in waiting.values():
+        self.resume_calls()
+        queued_set_ups, self.queued_set_ups = self.queued_set_ups, {}
+        for request, deadline_us in queued_set_ups.values():
             self.set_up(request, deadline_us)
 
-    def dial_failed(self, refused: bool) -> None:
-        """Nothing runs there, or nothing answers: what waited never left."""
-        self._dialling = None
+    def on_dial_failed(self, refused: bool) -> None:
+        """End the queued set-ups, which were never sent, after a refused or timed-out dial."""
+        self._connector = None
         self.counts["peer_dials_refused" if refused else "peer_dials_timed_out"] += 1
-        waiting, self.waiting = self.waiting, {}
-        self._refusals = self._refusals + 1 if refused else 0
-        if self._refusals >= REFUSALS:
-            self.owed.clear()
-            self.router.on_peer_lost(self.name)  # no process, so none of its calls
-        for call in waiting:
+        queued_set_ups, self.queued_set_ups = self.queued_set_ups, {}
+        self._refused_dials = self._refused_dials + 1 if refused else 0
+        if self._refused_dials >= REFUSED_DIALS_UNTIL_LOST:
+            self.pending_releases.clear()
+            self.router.on_peer_lost(self.name)  # the process is gone, and its calls with it
+        for call in queued_set_ups:
             self.router.on_ended(self.name, call, AttemptEnd(io.Outcome.UNREACHABLE))
-        self._dial_later()
+        self._schedule_redial()
 
-    def disconnected(self, connection: StreamProtocol, reason: Failure) -> None:
-        """The connection has ended, and with it the set-ups that were open on it."""
-        self.leave(connection, "peer_closes" if failed_as(reason, ConnectionDone) else "peer_resets")
+    def on_disconnected(self, connection: StreamProtocol, reason: Failure) -> None:
+        """Handle the end of a connection, which also ends the set-ups that are outstanding on it."""
+        self.mark_ended(connection, "peer_closes" if failed_as(reason, ConnectionDone) else "peer_resets")
 
-    def drop(self, connection: StreamProtocol) -> None:
-        """Give up a connection on which something came spoilt or cut off: no more can be read on it."""
+    def abort_connection(self, connection: StreamProtocol) -> None:
+        """Drop a connection on which corrupt or truncated data arrived: nothing more can be read from it."""
         connection.abort()
-        self.leave(connection, "peer_drops")
+        self.mark_ended(connection, "peer_drops")
 
-    def leave(self, connection: StreamProtocol, why: str = "peer_closes") -> None:
-        """Count a connection as ended now: its close may wait, and set-ups must not be sent on it."""
-        if connection.done:
+    def mark_ended(self, connection: StreamProtocol, why: str = "peer_closes") -> None:
+        """Treat a connection as ended from now on: its close may be delayed, and no set-up may be sent on it.
+
+        `why` is the counter of this kind of end.
+        """
+        if connection.is_closed:
             return
-        connection.done = True
+        connection.is_closed = True
         if connection is self.connection:
-            self._ended(why)
-        elif self.connection is None:  # it ended before it could be used
-            self.dial_failed(refused=False)
+            self._on_connection_ended(why)
+        elif self.connection is None:  # it ended before it was ready for use
+            self.on_dial_failed(refused=False)
 
-    def _ended(self, why: str) -> None:
-        """The connection is no more. What stands goes on: no connection owns a call that stands.
+    def _on_connection_ended(self, why: str) -> None:
+        """End the outstanding set-ups and reconnect. Established calls go on: no connection owns them.
 
-        Guards those calls against a reset, which alone does not prove that the process died: if it did, the
-        next dials are refused, or the bulletin tells. A set-up that was open may have been answered unheard:
-        the peer is told that it is over, or it would hold circuits for nobody.
+        A reset alone does not prove that the peer's process died, so it must not end established calls: if the
+        process died, the next dials are refused, or the bulletin reports it. An outstanding set-up may have been
+        answered without this router receiving the answer: the peer is sent a release, or it would hold circuits for
+        nobody.
         """
         self.connection = None
         self.counts[why] += 1
         now = self.clock.now_us()
-        opened, self.open = self.open, set()
+        outstanding, self.outstanding_set_ups = self.outstanding_set_ups, set()
         if why != "peer_closes":
-            log.warning("connection to a peer ended", peer=self.name, why=why, set_ups=len(opened))
-        self.owed += [(call, NORMAL_CLEARING, False, now) for call in opened]
-        for call in opened:
-            self.router.on_ended(self.name, call, AttemptEnd(self.broken))
-        if now - self._up_us < YOUNG_US:
-            self._dial_later()
+            log.warning("connection to a peer ended", peer=self.name, why=why, set_ups=len(outstanding))
+        self.pending_releases += [(call, NORMAL_CLEARING, False, now) for call in outstanding]
+        for call in outstanding:
+            self.router.on_ended(self.name, call, AttemptEnd(self.connection_lost_outcome))
+        if now - self._connected_us < MIN_CONNECTED_US:
+            self._schedule_redial()
         else:
-            self.dial()  # what concerns calls that stand is told on the next connection
+            self.dial()  # messages about established calls arrive on the next connection
 
-    def _dial_later(self) -> None:
-        if self._redial is None and self.wanted():
-            def again() -> None:
-                self._redial = None
+    def _schedule_redial(self) -> None:
+        if self._redial_timer is None and self.is_wanted():
+            def redial() -> None:
+                self._redial_timer = None
                 self.dial()
-            self._redial = self.clock.call_at(self.clock.now_us() + REDIAL_US, again)
+            self._redial_timer = self.clock.call_at(self.clock.now_us() + REDIAL_INTERVAL_US, redial)
 
     def retire(self) -> None:
-        """The peer has left the list: nothing of it is kept, and nothing more is said to it.
+        """Shut the link down for good, once the peer has left the roster: nothing is kept for it or sent to it.
 
-        Guards against links to machines long gone, which would dial for ever.
+        Without this, links to machines that are long gone would dial forever.
         """
         self.retired = True
-        self.owed.clear()
-        if self._redial is not None:
-            self._redial.cancel()
-            self._redial = None
-        if self._dialling is not None and self._dialling.state == "connecting":
-            self._dialling.stopConnecting()
-        self._dialling = None
-        waiting, self.waiting = self.waiting, {}
-        for call in waiting:
+        self.pending_releases.clear()
+        if self._redial_timer is not None:
+            self._redial_timer.cancel()
+            self._redial_timer = None
+        if self._connector is not None and self._connector.state == "connecting":
+            self._connector.stopConnecting()
+        self._connector = None
+        queued_set_ups, self.queued_set_ups = self.queued_set_ups, {}
+        for call in queued_set_ups:
             self.router.on_ended(self.name, call, AttemptEnd(io.Outcome.UNREACHABLE))
         if self.connection is not None:
-            self.drop(self.connection)
-            self.owed.clear()
+            self.abort_connection(self.connection)
+            self.pending_releases.clear()
 
     # ---- calls
 
     def set_up(self, request: Request, deadline_us: int) -> None:
-        """Send a set-up, once the connection is up."""
+        """Send a set-up, or queue it until the connection is established."""
         if self.retired:
             self.router.on_ended(self.name, request.call_id, AttemptEnd(io.Outcome.UNREACHABLE))
             return
         if self.connection is None:
-            self.waiting[request.call_id] = (request, deadline_us)
+            self.queued_set_ups[request.call_id] = (request, deadline_us)
             self.dial()
             return
         self.counts["peer_set_ups_sent"] += 1
         try:
             self.send_set_up(request, deadline_us)
-        except ValueError as wrong:  # no message holds it: it costs this call, not the others of its caller
-            log.warning("set-up that cannot be sent", peer=self.name, call=request.call_id, error=str(wrong))
+        except ValueError as error:  # it fits no message; only this call fails, not its caller's other calls
+            log.warning("set-up cannot be encoded", peer=self.name, call=request.call_id, error=str(error))
             self.router.on_ended(self.name, request.call_id, AttemptEnd(io.Outcome.NUMBER_FAULT))
             return
-        self.open.add(request.call_id)
+        self.outstanding_set_ups.add(request.call_id)
 
     def release(self, call: str, cause: int) -> None:
-        """Give up a set-up, or release a call that stands."""
-        if self.waiting.pop(call, None) is not None:
+        """Cancel a set-up, or release an established call."""
+        if self.queued_set_ups.pop(call, None) is not None:
             return
-        answered = call not in self.open
-        self.open.discard(call)
+        answered = call not in self.outstanding_set_ups
+        self.outstanding_set_ups.discard(call)
         if self.connection is not None:
             self.counts["peer_releases_sent"] += 1
             self.send_release(call, cause, answered)
-        elif answered:  # the call would stay up there, and hold its circuits
-            self.owed.append((call, cause, answered, self.clock.now_us()))
+        elif answered:  # otherwise the call would stay established at the peer, and hold its circuits
+            self.pending_releases.append((call, cause, answered, self.clock.now_us()))
             self.dial()
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -14,7 +14,7 @@
 from astertrack.core import NORMAL_CLEARING, TEMPORARY_FAILURE, AttemptEnd, Request
 from astertrack.core.model import Clock, Timer
 from astertrack.net.base import StreamProtocol
-from astertrack.net.links import WATCH_US, Link
+from astertrack.net.links import LIVENESS_CHECK_INTERVAL_US, Link
 from astertrack.wire import peer as wire
 from astertrack.wire.common import Malformed, MalformedError, parse_figures
 from ospreylug import interface as io
@@ -51,12 +51,12 @@
     def connectionMade(self) -> None:
         """Twisted's hook: the connection is up."""
         super().connectionMade()
-        self.link.connected(self)
+        self.link.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
         """Twisted's hook: bytes came."""
-        self.link.alive()
-        for message in self.stream.receive(data) if not self.done else ():
+        self.link.record_activity()
+        for message in self.stream.receive(data) if not self.is_closed else ():
             try:
                 if isinstance(message, Malformed):
                     raise MalformedError(message.reason)
@@ -64,17 +64,17 @@
             except MalformedError as wrong:
                 self.link.counts["peer_malformed"] += 1
                 log.warning("peer sent what cannot be read", peer=self.link.name, reason=str(wrong))
-                self.link.drop(self)
+                self.link.abort_connection(self)
                 return
             if isinstance(event, wire.Answered) and self.link.swallowed(event):
                 self.link.counts["peer_swallowed"] += 1
                 log.warning("peer stopped short in an answer, and went on behind it", peer=self.link.name,
                             call=event.call)
-                self.link.drop(self)
+                self.link.abort_connection(self)
                 return
             if event is not None:
                 self.link.heard(event)
-            if self.done:
+            if self.is_closed:
                 return
         self._watch()
 
@@ -88,14 +88,14 @@
             self._partial = clock.call_at(clock.now_us() + PARTIAL_US, self._cut_short)
 
     def _cut_short(self) -> None:
-        if not self.done:
+        if not self.is_closed:
             self.link.counts["peer_cut_short"] += 1
             log.warning("peer stopped short in a message", peer=self.link.name)
-            self.link.drop(self)
+            self.link.abort_connection(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Twisted's hook: the connection has ended."""
-        self.link.disconnected(self, reason)
+        self.link.on_disconnected(self, reason)
 
 
 @dataclass(eq=False)
@@ -105,7 +105,7 @@
     tests: dict[str, tuple[int, Timer]] = field(default_factory=dict)
     _tests_made: int = 0
 
-    def converse(self) -> PeerConnection:
+    def build_connection(self) -> PeerConnection:
         """Make the protocol of a new connection."""
         return PeerConnection(self)
 
@@ -149,11 +149,11 @@
         match event:
             case wire.Answered(call, description):
                 self.counts["peer_answers"] += 1
-                self.open.discard(call)
+                self.outstanding_set_ups.discard(call)
                 self.router.on_answered(self.name, call, description)
             case wire.Released(call, cause, note, report):
                 self.counts[f"peer_releases_cause_{cause}"] += 1
-                self.open.discard(call)
+                self.outstanding_set_ups.discard(call)
                 outcome = OUTCOMES.get(cause, io.Outcome.NUMBER_FAULT)
                 end = AttemptEnd(outcome, NOTES.get(note, io.Cause.NONE), parse_load_report(report))
                 self.router.on_ended(self.name, call, end)
@@ -184,7 +184,7 @@
     def __init__(self, make: Callable[[Endpoint], Link], home: int, clock: Clock) -> None:
         self.make, self.home, self.clock = make, home, clock
         self.links: dict[str, Link] = {}
-        self._watch_us = clock.now_us() + WATCH_US
+        self._watch_us = clock.now_us() + LIVENESS_CHECK_INTERVAL_US
         clock.call_at(self._watch_us, self._watch)
         self.addresses: dict[str, str] = {}
 
@@ -196,8 +196,8 @@
         now = self.clock.now_us()
         if now - self._watch_us < LATE_US:
             for link in list(self.links.values()):
-                link.watch()
-        self._watch_us = now + WATCH_US
+                link.check_liveness()
+        self._watch_us = now + LIVENESS_CHECK_INTERVAL_US
         self.clock.call_at(self._watch_us, self._watch)
 
     def update(self, endpoints: list[Endpoint], complete: bool) -> None:
--- a/astertrack/net/versionserver.py
+++ b/astertrack/net/versionserver.py
@@ -51,7 +51,7 @@
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Twisted's hook: the connection has ended."""
-        self.done = True
+        self.is_closed = True
         self.queue.clear()
         self.service.connections.discard(self)
         self.service.streams.discard(self)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -15,7 +15,13 @@
 from twisted.python.failure import Failure
 
 from astertrack.core import Request
-from astertrack.net.links import LOST_US, QUIET_US, REDIAL_US, SILENT_US, WATCH_US
+from astertrack.net.links import (
+    KEEPALIVE_IDLE_US,
+    LIVENESS_CHECK_INTERVAL_US,
+    PEER_LOST_TIMEOUT_US,
+    REDIAL_INTERVAL_US,
+    UNRESPONSIVE_TIMEOUT_US,
+)
 from astertrack.net.peers import PARTIAL_US, Endpoint, PeerLink, PeerTable
 from astertrack.wire import peer as wire
 from ospreylug import interface as io
@@ -183,10 +189,10 @@
     peer.up.connectionLost(cast(Any, Failure)(ConnectionLost()))
     assert not peer.harness.caller_releases
     peer.fail(TimeoutError)
-    peer.pass_time(REDIAL_US + 50_000)
+    peer.pass_time(REDIAL_INTERVAL_US + 50_000)
     peer.fail(ConnectionRefusedError)
     assert not peer.harness.caller_releases
-    peer.pass_time(REDIAL_US + 50_000)
+    peer.pass_time(REDIAL_INTERVAL_US + 50_000)
     peer.fail(ConnectionRefusedError)
     assert peer.harness.caller_releases == {ONE: 1}
 
@@ -211,7 +217,7 @@
     peer.pass_time(3_000_000)
     assert len(peer.reactor.dials) == dials
     assert peer.reactor.stopped == 1
-    assert not peer.link.waiting and not peer.link.open and not peer.link.owed
+    assert not peer.link.queued_set_ups and not peer.link.outstanding_set_ups and not peer.link.pending_releases
     peer.connect()  # it came up all the same
     assert peer.transports[-1].aborted
     assert not peer.heard()
@@ -229,21 +235,21 @@
 def test_a_silent_connection_is_tested_given_up_and_its_calls_released_in_time() -> None:
     peer = peer_up(ONE)
     peer.answers(ONE)
-    peer.pass_time(QUIET_US + 2 * WATCH_US)
+    peer.pass_time(KEEPALIVE_IDLE_US + 2 * LIVENESS_CHECK_INTERVAL_US)
     tests = [c for kind, c in peer.heard() if kind == wire.Type.TEST]
     assert len(tests) == 1
     peer.says(wire.Type.TEST_RESULT, tests[0], {wire.Code.CAUSE: b"\1"})  # alive
-    peer.pass_time(SILENT_US - 50_000)
+    peer.pass_time(UNRESPONSIVE_TIMEOUT_US - 50_000)
     assert not peer.transports[0].aborted
-    peer.pass_time(2 * WATCH_US)
+    peer.pass_time(2 * LIVENESS_CHECK_INTERVAL_US)
     assert peer.transports[0].aborted
     peer.connect()  # another connection, which says nothing either
-    peer.pass_time(SILENT_US + 2 * WATCH_US)
+    peer.pass_time(UNRESPONSIVE_TIMEOUT_US + 2 * LIVENESS_CHECK_INTERVAL_US)
     assert peer.transports[1].aborted
     assert not peer.harness.caller_releases  # it may still come back, and the call with it
-    peer.pass_time(LOST_US - 2 * SILENT_US)
+    peer.pass_time(PEER_LOST_TIMEOUT_US - 2 * UNRESPONSIVE_TIMEOUT_US)
     assert peer.harness.caller_releases == {ONE: 1}
-    assert LOST_US + 2 * WATCH_US < 8_000_000
+    assert PEER_LOST_TIMEOUT_US + 2 * LIVENESS_CHECK_INTERVAL_US < 8_000_000
     peer.connect()
     assert (wire.Type.RELEASE, ONE) in peer.heard()  # cut off, not dead: its circuits are freed there
 
@@ -254,7 +260,7 @@
     peer.reactor.advance(5)
     assert not peer.transports[0].aborted
     peer.answers(ONE)  # it was there to be read
-    peer.pass_time(WATCH_US)
+    peer.pass_time(LIVENESS_CHECK_INTERVAL_US)
     assert not peer.transports[0].aborted
 
 
@@ -273,12 +279,12 @@
 
     @rule()
     def come_up(self) -> None:
-        if self.peer.link.connection is None and self.peer.link._dialling is not None:
+        if self.peer.link.connection is None and self.peer.link._connector is not None:
             self.peer.connect()
 
     @rule(kind=st.sampled_from([ConnectionRefusedError, TimeoutError]))
     def fail(self, kind: type[Exception]) -> None:
-        if self.peer.link.connection is None and self.peer.link._dialling is not None:
+        if self.peer.link.connection is None and self.peer.link._connector is not None:
             self.peer.fail(kind)
 
     @rule(how=st.sampled_from(["spoilt", "reset", "close", "answer", "short"]))
@@ -294,8 +300,8 @@
             ended(up)
         elif how == "short":
             self.peer.up.dataReceived(b"\x00")
-        elif self.peer.link.open:
-            self.peer.answers(min(self.peer.link.open))
+        elif self.peer.link.outstanding_set_ups:
+            self.peer.answers(min(self.peer.link.outstanding_set_ups))
 
     @rule(ticks=st.integers(1, 40))
     def wait(self, ticks: int) -> None:
@@ -305,12 +311,12 @@
     def each_set_up_is_somewhere_and_once(self) -> None:
         link, router = self.peer.link, self.peer.router
         out = {n for n, c in router.calls.items() if c.attempt is not None and not c.is_established}
-        assert out == link.open | set(link.waiting)
-        assert not link.open & set(link.waiting)
-        assert not link.open or link.connection is not None
+        assert out == link.outstanding_set_ups | set(link.queued_set_ups)
+        assert not link.outstanding_set_ups & set(link.queued_set_ups)
+        assert not link.outstanding_set_ups or link.connection is not None
         assert all(count == 1 for count in self.peer.harness.finals.values())
-        assert link.connection is not None or link._dialling is not None or link._redial is not None
-        assert len(link.owed) <= self.calls
+        assert link.connection is not None or link._connector is not None or link._redial_timer is not None
+        assert len(link.pending_releases) <= self.calls
 
 
 TestLinkStates = LinkStates.TestCase
