--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -1,4 +1,4 @@
-"""Peers that speak the platform's binary messages, and the table of all peers."""
+"""Peers that speak the platform's binary protocol, and the table of the links to all peers."""
 
 from __future__ import annotations
 
@@ -21,23 +21,25 @@
 from ospreylug.wirehost import read_load
 
 log = structlog.get_logger()
-PARTIAL_US = 300_000  # a message of at most 16 KiB that is not whole by then will not be
-LATE_US = 100_000  # a look at the links that comes later than this waits for the next one
-PROBE_US = 250_000  # a probe unanswered for so long has failed
-OUTCOMES = {34: io.Outcome.TURNED_AWAY, 17: io.Outcome.NUMBER_FAULT, 47: io.Outcome.NUMBER_FAULT,
-            102: io.Outcome.NOT_SENT, TEMPORARY_FAILURE: io.Outcome.CUT, NORMAL_CLEARING: io.Outcome.OK}
-NOTES = {"congestion": io.Cause.NO_CIRCUIT, "crankback": io.Cause.CRANKBACK,
-         "remote_throttled": io.Cause.CRANKBACK_FULL, "throttled": io.Cause.PROCESSOR_FULL,
-         "engaged": io.Cause.LINES_BUSY}
-CONTROL = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")  # what no text has; tab, CR and LF are text
-FIELDS = {"x0": "free", "x1": "size", "queue": "backlog", "inflight": "outstanding", "util": "utilization",
-          "latency_ms": "recent_ms", "qps": "can_take", "eps": "hold_back"}
+# A message has at most 16 KiB. One that is incomplete when this timeout expires is taken for truncated.
+PARTIAL_MESSAGE_TIMEOUT_US = 300_000
+MAX_LIVENESS_CHECK_DELAY_US = 100_000  # a check of the links that runs later than this is skipped until the next one
+PROBE_TIMEOUT_US = 250_000
+RELEASE_CAUSE_OUTCOMES = {34: io.Outcome.TURNED_AWAY, 17: io.Outcome.NUMBER_FAULT, 47: io.Outcome.NUMBER_FAULT,
+                          102: io.Outcome.NOT_SENT, TEMPORARY_FAILURE: io.Outcome.CUT, NORMAL_CLEARING: io.Outcome.OK}
+RELEASE_NOTE_CAUSES = {"congestion": io.Cause.NO_CIRCUIT, "crankback": io.Cause.CRANKBACK,
+                       "remote_throttled": io.Cause.CRANKBACK_FULL, "throttled": io.Cause.PROCESSOR_FULL,
+                       "engaged": io.Cause.LINES_BUSY}
+CONTROL_CHARACTERS = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")  # without tab, CR and LF, which occur in text
+# Short names of the values in a load report, and the names that read_load expects.
+LOAD_FIELDS = {"x0": "free", "x1": "size", "queue": "backlog", "inflight": "outstanding", "util": "utilization",
+               "latency_ms": "recent_ms", "qps": "can_take", "eps": "hold_back"}
 
 
 @lru_cache(maxsize=2048)
 def parse_load_report(report: str) -> io.Load:
-    """Translate a report, whichever of the two names its figures bear."""
-    return read_load({FIELDS.get(name, name): value for name, value in parse_figures(report).items()})
+    """Parse a load report, in which values have either their short names or the names of io.Load."""
+    return read_load({LOAD_FIELDS.get(name, name): value for name, value in parse_figures(report).items()})
 
 
 class PeerConnection(StreamProtocol):
@@ -46,106 +48,107 @@
     def __init__(self, link: PeerLink) -> None:
         self.link = link
         self.stream = wire.Stream()
-        self._partial: Timer | None = None  # runs while a message is under way
+        self._partial_timer: Timer | None = None  # runs while a message is incomplete
 
     def connectionMade(self) -> None:
-        """Twisted's hook: the connection is up."""
+        """Called by Twisted when the connection is established."""
         super().connectionMade()
         self.link.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted's hook: bytes came."""
+        """Called by Twisted when bytes were received."""
         self.link.record_activity()
         for message in self.stream.receive(data) if not self.is_closed else ():
             try:
                 if isinstance(message, Malformed):
                     raise MalformedError(message.reason)
                 event = wire.read_event(message)
-            except MalformedError as wrong:
+            except MalformedError as error:
                 self.link.counts["peer_malformed"] += 1
-                log.warning("peer sent what cannot be read", peer=self.link.name, reason=str(wrong))
+                log.warning("malformed message from a peer", peer=self.link.name, reason=str(error))
                 self.link.abort_connection(self)
                 return
-            if isinstance(event, wire.Answered) and self.link.swallowed(event):
+            if isinstance(event, wire.Answered) and self.link.contains_next_message(event):
                 self.link.counts["peer_swallowed"] += 1
-                log.warning("peer stopped short in an answer, and went on behind it", peer=self.link.name,
+                log.warning("truncated answer from a peer was completed by the next message", peer=self.link.name,
                             call=event.call)
                 self.link.abort_connection(self)
                 return
             if event is not None:
-                self.link.heard(event)
+                self.link.on_event(event)
             if self.is_closed:
                 return
-        self._watch()
+        self._restart_partial_timer()
 
-    def _watch(self) -> None:
-        """Give up the connection when a message stops short: what follows would be taken for its rest."""
-        if self._partial is not None:
-            self._partial.cancel()
-            self._partial = None
+    def _restart_partial_timer(self) -> None:
+        """Drop the connection if a message stays incomplete: what follows would be taken for the rest of it."""
+        if self._partial_timer is not None:
+            self._partial_timer.cancel()
+            self._partial_timer = None
         if self.stream.partial:
             clock = self.link.clock
-            self._partial = clock.call_at(clock.now_us() + PARTIAL_US, self._cut_short)
+            self._partial_timer = clock.call_at(clock.now_us() + PARTIAL_MESSAGE_TIMEOUT_US, self._on_partial_timeout)
 
-    def _cut_short(self) -> None:
+    def _on_partial_timeout(self) -> None:
         if not self.is_closed:
             self.link.counts["peer_cut_short"] += 1
-            log.warning("peer stopped short in a message", peer=self.link.name)
+            log.warning("truncated message from a peer", peer=self.link.name)
             self.link.abort_connection(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted's hook: the connection has ended."""
+        """Called by Twisted when the connection has ended."""
         self.link.on_disconnected(self, reason)
 
 
 @dataclass(eq=False)
 class PeerLink(Link):
-    """The way to a peer that speaks the platform's binary messages."""
+    """The link to a peer that speaks the platform's binary protocol."""
 
-    tests: dict[str, tuple[int, Timer]] = field(default_factory=dict)
-    _tests_made: int = 0
+    # Unanswered probes: when each was sent, and its timeout.
+    outstanding_probes: dict[str, tuple[int, Timer]] = field(default_factory=dict)
+    _probe_count: int = 0
 
     def build_connection(self) -> PeerConnection:
-        """Make the protocol of a new connection."""
+        """Build the protocol of a new connection."""
         return PeerConnection(self)
 
     def send_set_up(self, request: Request, deadline_us: int) -> None:
-        """Write a set-up; the wire tells the time left, so it is worked out last."""
+        """Send a set-up. The message gives the remaining time, which is therefore computed last."""
         wait_ms = max(1, (deadline_us - self.clock.now_us()) // 1000)
         self._write(wire.set_up(request.call_id, request.service_name, request.number, wait_ms,
                                 request.description))
 
     def send_release(self, call: str, cause: int, answered: bool) -> None:
-        """Write a release: one message for both meanings."""
+        """Send a release, which this protocol uses both to cancel a set-up and to release an established call."""
         self._write(wire.release(call, cause))
 
     def probe(self) -> None:
-        """Test the peer."""
-        self._tests_made += 1
-        call = f"{self._tests_made:016x}"
+        """Send a probe, and report its failure to the router if it is not answered in time."""
+        self._probe_count += 1
+        call = f"{self._probe_count:016x}"
         now = self.clock.now_us()
 
-        def silent() -> None:
-            if self.tests.pop(call, None) is not None:
+        def on_timeout() -> None:
+            if self.outstanding_probes.pop(call, None) is not None:
                 self.router.on_group_state(self.name, io.Load(), ok=False, delay_us=self.clock.now_us() - now)
 
-        self.tests[call] = (now, self.clock.call_at(now + PROBE_US, silent))
+        self.outstanding_probes[call] = (now, self.clock.call_at(now + PROBE_TIMEOUT_US, on_timeout))
         if self.connection is not None:
             self._write(wire.test(call))
 
-    def swallowed(self, event: wire.Answered) -> bool:
-        """Whether an answer that stopped short was filled up by a message behind it.
+    def contains_next_message(self, event: wire.Answered) -> bool:
+        """Return whether a truncated answer was completed by the message that follows it.
 
-        Guards a caller against an answer that no peer gave: each message begins with the high octet of its length,
-        which under 8 KiB is a control character, and descriptions are text. One that is offered with control
-        characters may be answered with some.
+        Without this check a caller could receive an answer that no peer gave. Each message begins with the high byte
+        of its length, which is a control character for lengths under 8 KiB, while descriptions are text. If the
+        set-up's own description contains control characters, the answer's may contain them too.
         """
         call = self.router.calls.get(event.call)
-        return (call is not None and CONTROL.search(event.description) is not None
-                and CONTROL.search(call.request.description) is None)
+        return (call is not None and CONTROL_CHARACTERS.search(event.description) is not None
+                and CONTROL_CHARACTERS.search(call.request.description) is None)
 
-    def heard(self, event: wire.Event) -> None:
-        """Tell the core what the peer said."""
+    def on_event(self, event: wire.Event) -> None:
+        """Pass a message from the peer to the router."""
         match event:
             case wire.Answered(call, description):
                 self.counts["peer_answers"] += 1
@@ -154,16 +157,17 @@
             case wire.Released(call, cause, note, report):
                 self.counts[f"peer_releases_cause_{cause}"] += 1
                 self.outstanding_set_ups.discard(call)
-                outcome = OUTCOMES.get(cause, io.Outcome.NUMBER_FAULT)
-                end = AttemptEnd(outcome, NOTES.get(note, io.Cause.NONE), parse_load_report(report))
+                outcome = RELEASE_CAUSE_OUTCOMES.get(cause, io.Outcome.NUMBER_FAULT)
+                end = AttemptEnd(outcome, RELEASE_NOTE_CAUSES.get(note, io.Cause.NONE), parse_load_report(report))
                 self.router.on_ended(self.name, call, end)
             case wire.GroupState(report):
                 self.counts["peer_group_states"] += 1
                 self.router.on_group_state(self.name, parse_load_report(report))
             case wire.Tested(call, passed, report):
-                if (test := self.tests.pop(call, None)) is not None:
-                    test[1].cancel()
-                    self.router.on_group_state(self.name, parse_load_report(report), passed, self.clock.now_us() - test[0])
+                if (probe := self.outstanding_probes.pop(call, None)) is not None:
+                    probe[1].cancel()
+                    self.router.on_group_state(self.name, parse_load_report(report), passed,
+                                            self.clock.now_us() - probe[0])
 
     def _write(self, data: bytes) -> None:
         if self.connection is not None:
@@ -172,57 +176,61 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Where a peer of the list is to be found."""
+    """A peer of the roster and its address, host:port."""
 
     address: str
     entry: io.Entry
 
 
 class PeerTable:
-    """The core's Peers port: the links, by name."""
+    """The links to all peers, by name. Implements the Peers port of the core."""
 
-    def __init__(self, make: Callable[[Endpoint], Link], home: int, clock: Clock) -> None:
-        self.make, self.home, self.clock = make, home, clock
+    def __init__(self, make_link: Callable[[Endpoint], Link], home: int, clock: Clock) -> None:
+        self.make_link, self.home, self.clock = make_link, home, clock
         self.links: dict[str, Link] = {}
-        self._watch_us = clock.now_us() + LIVENESS_CHECK_INTERVAL_US
-        clock.call_at(self._watch_us, self._watch)
+        self._next_check_us = clock.now_us() + LIVENESS_CHECK_INTERVAL_US
+        clock.call_at(self._next_check_us, self._check_liveness)
         self.addresses: dict[str, str] = {}
 
-    def _watch(self) -> None:
-        """Look after all links; not in a turn that comes late, for then the silence may be our own.
+    def _check_liveness(self) -> None:
+        """Check all links, unless the check runs late: then this process may be what was unresponsive.
 
-        Guards every connection against a pause of this process: timers come before what waits to be read.
+        Without the exception, a pause of this process would drop every connection, because timers run before pending
+        input is read.
         """
         now = self.clock.now_us()
-        if now - self._watch_us < LATE_US:
+        if now - self._next_check_us < MAX_LIVENESS_CHECK_DELAY_US:
             for link in list(self.links.values()):
                 link.check_liveness()
-        self._watch_us = now + LIVENESS_CHECK_INTERVAL_US
-        self.clock.call_at(self._watch_us, self._watch)
+        self._next_check_us = now + LIVENESS_CHECK_INTERVAL_US
+        self.clock.call_at(self._next_check_us, self._check_liveness)
 
     def update(self, endpoints: list[Endpoint], complete: bool) -> None:
-        """Follow the list. A peer at a new address is a new machine; one's name is kept on a restart."""
-        named = {e.entry.exchange for e in endpoints}
+        """Apply a change of the roster; a complete list also removes the peers that it does not name.
+
+        A peer at a new address is a new machine, whose link starts afresh. A peer keeps its name when it restarts.
+        """
+        listed = {e.entry.exchange for e in endpoints}
         gone = [e.entry.exchange for e in endpoints if e.entry.readiness is io.Readiness.GONE]
         if complete:
-            gone += [name for name in self.links if name not in named]
+            gone += [name for name in self.links if name not in listed]
         for name in gone:
-            self._drop(name)
+            self._remove(name)
         for endpoint in endpoints:
             if self.addresses.get(endpoint.entry.exchange, endpoint.address) != endpoint.address:
-                self._drop(endpoint.entry.exchange)
+                self._remove(endpoint.entry.exchange)
         self.add(endpoints)
 
     def add(self, endpoints: list[Endpoint]) -> None:
-        """Make links to those that are new."""
+        """Create links to the peers that have none yet."""
         for endpoint in endpoints:
             name, entry = endpoint.entry.exchange, endpoint.entry
             if entry.readiness is not io.Readiness.GONE and entry.number != self.home and (
                     name not in self.links):
-                self.links[name] = self.make(endpoint)
+                self.links[name] = self.make_link(endpoint)
                 self.addresses[name] = endpoint.address
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         link = self.links.pop(name, None)
         self.addresses.pop(name, None)
         if link is not None:
@@ -233,15 +241,15 @@
         self.links[peer].set_up(request, deadline_us)
 
     def cancel_set_up(self, peer: str, call: str) -> None:
-        """Give up a set-up that is out."""
+        """Cancel a pending set-up."""
         self.release(peer, call, NORMAL_CLEARING)
 
     def release(self, peer: str, call: str, cause: int) -> None:
-        """Release a call that stands."""
+        """Release an established call."""
         if (link := self.links.get(peer)) is not None:
             link.release(call, cause)
 
     def probe(self, peer: str) -> None:
-        """Test a peer."""
+        """Send a probe to a peer."""
         if (link := self.links.get(peer)) is not None:
             link.probe()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -22,7 +22,7 @@
     REDIAL_INTERVAL_US,
     UNRESPONSIVE_TIMEOUT_US,
 )
-from astertrack.net.peers import PARTIAL_US, Endpoint, PeerLink, PeerTable
+from astertrack.net.peers import PARTIAL_MESSAGE_TIMEOUT_US, Endpoint, PeerLink, PeerTable
 from astertrack.wire import peer as wire
 from ospreylug import interface as io
 
@@ -141,10 +141,10 @@
     peer = peer_up(ONE)
     whole = wire.encode(wire.Message(wire.Type.ANSWER, ONE, {wire.Code.DESCRIPTION: b"answer"}))
     peer.up.dataReceived(whole[:9])
-    peer.pass_time(PARTIAL_US - 50_000)
+    peer.pass_time(PARTIAL_MESSAGE_TIMEOUT_US - 50_000)
     peer.up.dataReceived(whole[9:] + whole[:3])
     assert peer.harness.answers == {ONE: "answer"}
-    peer.pass_time(PARTIAL_US - 50_000)
+    peer.pass_time(PARTIAL_MESSAGE_TIMEOUT_US - 50_000)
     assert not peer.transports[0].aborted
     peer.pass_time(100_000)
     assert peer.transports[0].aborted
