--- a/astertrack/net/__init__.py
+++ b/astertrack/net/__init__.py
@@ -1,1 +1,1 @@
-"""Thin Twisted drivers round the state machines of astertrack.wire, and the ports of the core."""
+"""Thin Twisted drivers around the state machines of astertrack.wire; they implement the ports of the core."""
--- a/astertrack/net/base.py
+++ b/astertrack/net/base.py
@@ -1,4 +1,4 @@
-"""What every driver does with its connection."""
+"""Base classes of the Twisted protocols in this package."""
 
 from __future__ import annotations
 
@@ -12,64 +12,65 @@
 
 
 class StreamProtocol(Protocol):
-    """A connection that can be written to and closed at any time, whether it is up or not."""
+    """A connection that can be written to and closed at any time, whether it is established or not."""
 
-    write_blocked_since_us: int | None = None  # since when the other end does not read
-    is_closed = False  # given up or ended: what still comes on it means nothing
+    write_blocked_since_us: int | None = None  # while the other end does not read
+    is_closed = False  # dropped or ended: whatever still arrives on it is ignored
 
     def connectionMade(self) -> None:
-        """Twisted's hook: the connection is up. Messages are small and wanted at once."""
+        """Called by Twisted when the connection is established. Messages are small and must not be delayed."""
         transport: Any = self.transport
         transport.setTcpNoDelay(True)
 
     def write(self, data: bytes) -> None:
-        """Write, if there is anything to write and a connection."""
+        """Write data, if there is any and if there is a connection."""
         transport: Any = self.transport
         if data and transport is not None:
             transport.write(data)
 
     def close(self) -> None:
-        """Close once what was written has gone."""
+        """Close the connection after the data written so far has been sent."""
         transport: Any = self.transport
         if transport is not None:
             transport.loseConnection()
 
     def abort(self) -> None:
-        """Drop the connection."""
+        """Close the connection at once, without sending what is still buffered."""
         transport: Any = self.transport
         if transport is not None:
             transport.abortConnection()
 
 
-class Throttle:
-    """Twisted's producer for one connection: while the other end does not read, nothing is read from it.
+class BackpressureProducer:
+    """Twisted's push producer for one connection: nothing is read from a client that does not read what it is sent.
 
-    Bounds what waits to be written. Since when that is so stands in choked_us, for whoever gives it up.
+    This bounds the write buffer. The protocol's write_blocked_since_us says since when reading has been paused, for
+    the code that closes such connections.
     """
 
-    def __init__(self, conversation: StreamProtocol, clock: Clock, paused: Callable[[], None]) -> None:
-        self.conversation, self.clock, self.paused = conversation, clock, paused
+    def __init__(self, protocol: StreamProtocol, clock: Clock, on_pause: Callable[[], None]) -> None:
+        self.protocol, self.clock, self.on_pause = protocol, clock, on_pause
 
-    def _pass_on(self, name: str) -> None:
-        transport: Any = self.conversation.transport
+    def _call_transport(self, method: str) -> None:
+        transport: Any = self.protocol.transport
         if transport is not None:
-            getattr(transport, name)()
+            getattr(transport, method)()
 
     def pauseProducing(self) -> None:
-        """Too much is waiting to be written."""
-        self.conversation.write_blocked_since_us = self.clock.now_us()
-        self.paused()
-        self._pass_on("pauseProducing")
+        """Called by Twisted when the write buffer is full."""
+        self.protocol.write_blocked_since_us = self.clock.now_us()
+        self.on_pause()
+        self._call_transport("pauseProducing")
 
     def resumeProducing(self) -> None:
-        """It has been written."""
-        self.conversation.write_blocked_since_us = None
-        self._pass_on("resumeProducing")
+        """Called by Twisted when the write buffer has been sent."""
+        self.protocol.write_blocked_since_us = None
+        self._call_transport("resumeProducing")
 
     def stopProducing(self) -> None:
-        """The connection has ended."""
+        """Called by Twisted when the connection has ended."""
 
 
-def failed_as(reason: Failure, kind: type[Exception]) -> bool:
-    """Whether a connection ended, or failed to come up, in this way."""
-    return isinstance(reason.value, kind)
+def failed_as(reason: Failure, exception_type: type[Exception]) -> bool:
+    """Return whether a connection, or an attempt to connect, ended with an exception of this type."""
+    return isinstance(reason.value, exception_type)
--- a/astertrack/net/callers.py
+++ b/astertrack/net/callers.py
@@ -15,7 +15,7 @@
 
 from astertrack.core import Request, Router
 from astertrack.core.model import Clock
-from astertrack.net.base import StreamProtocol, Throttle
+from astertrack.net.base import BackpressureProducer, StreamProtocol
 from astertrack.wire import sip
 from astertrack.wire.common import Malformed, MalformedError, parse_figures
 
@@ -138,7 +138,7 @@
         # Answers leave when a turn of the event loop ends: in a burst, reads of 64 KiB kept them too long.
         transport: Any = self.transport
         transport.bufferSize = READ_MOST
-        transport.registerProducer(Throttle(self, self.front.clock, self._paused), True)
+        transport.registerProducer(BackpressureProducer(self, self.front.clock, self._paused), True)
         self.counts["sip_connections"] += 1
         self.front.connections[self] = None
         self.front.held += 1
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 
 from astertrack.core import Request, Router
-from astertrack.net.base import StreamProtocol, Throttle
+from astertrack.net.base import BackpressureProducer, StreamProtocol
 from astertrack.net.clock import ReactorClock
 from astertrack.wire import callapi as api
 from astertrack.wire import websocket as ws
@@ -184,7 +184,7 @@
         self.counts["ws_connections"] += 1
         self.front.sessions.add(self)
         if self.transport is not None:  # a client that does not read is not read either, until it does
-            self.transport.registerProducer(Throttle(self, self.front.clock, self._paused), True)
+            self.transport.registerProducer(BackpressureProducer(self, self.front.clock, self._paused), True)
 
     def _paused(self) -> None:
         self.counts["ws_pauses"] += 1
