--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from astertrack.core import NORMAL_CLEARING, AttemptEnd
-from astertrack.net.callers import CHOKED_US, IDLE_US, SPEAK_US, SWEEP_US
+from astertrack.net.callers import IDLE_TIMEOUT_US, MESSAGE_TIMEOUT_US, SWEEP_INTERVAL_US, WRITE_BLOCKED_TIMEOUT_US
 from astertrack.wire import sip
 from ospreylug import interface as io
 
@@ -29,8 +29,8 @@
 
 
 def test_the_times_owed_to_callers_are_kept() -> None:
-    assert SPEAK_US + SWEEP_US < 3_000_000  # told or closed within 3 s of connecting
-    assert IDLE_US > 4_000_000  # after which callers close idle connections themselves
+    assert MESSAGE_TIMEOUT_US + SWEEP_INTERVAL_US < 3_000_000  # told or closed within 3 s of connecting
+    assert IDLE_TIMEOUT_US > 4_000_000  # after which callers close idle connections themselves
 
 
 class ConnectionStates(RuleBasedStateMachine):
@@ -79,10 +79,10 @@
         for _ in range(ticks):
             self.callers.pass_time(0.25)
             now = self.now_us()
-            late = [0 if self.spoken else now - self.heard_us - SPEAK_US,
-                    now - self.half_us - SPEAK_US if self.half_us is not None else 0,
-                    0 if self.connection.machine.open else now - self.heard_us - IDLE_US]
-            assert max(late) <= 2 * SWEEP_US or self.over
+            late = [0 if self.spoken else now - self.heard_us - MESSAGE_TIMEOUT_US,
+                    now - self.half_us - MESSAGE_TIMEOUT_US if self.half_us is not None else 0,
+                    0 if self.connection.machine.open else now - self.heard_us - IDLE_TIMEOUT_US]
+            assert max(late) <= 2 * SWEEP_INTERVAL_US or self.over
             if self.transport.ended and not self.over:
                 assert max(late) > 0
                 self.over = True
@@ -138,7 +138,7 @@
     for _ in range(100):
         if (new := callers.front.buildProtocol(None)) is not None:
             new.makeConnection(Abortable())  # type: ignore[no-untyped-call]
-    assert callers.front.held <= 28
+    assert callers.front.open_descriptors <= 28
 
 
 def test_a_connection_with_bytes_not_read_yet_is_not_closed_for_being_idle() -> None:
@@ -149,7 +149,7 @@
     with ours, theirs:
         transport.socket = ours
         theirs.send(b"I")
-        callers.pass_time(IDLE_US / 1e6 + 1)
+        callers.pass_time(IDLE_TIMEOUT_US / 1e6 + 1)
         assert not transport.ended
         ours.recv(1)
         callers.pass_time(0.5)
@@ -162,7 +162,7 @@
     connection.dataReceived(invite(ONE))
     transport.producer.pauseProducing()
     assert transport.producerState == "paused"
-    callers.pass_time(CHOKED_US / 1e6 + 0.5)
+    callers.pass_time(WRITE_BLOCKED_TIMEOUT_US / 1e6 + 0.5)
     assert transport.aborted
 
 
@@ -236,7 +236,7 @@
     callers.harness.router.on_ended(callers.harness.peer_by_call[ONE], ONE, AttemptEnd(io.Outcome.OK))
     callers.pass_time(1)
     assert releases(first_transport) == [ONE]  # no caller has ever said so: it need not
-    assert not callers.front.releases
+    assert not callers.front.pending_releases
     first.dataReceived(HEARD)
     callers.front.release(ONE, NORMAL_CLEARING, first)
     callers.pass_time(1)
