--- a/tests/test_call_front.py
+++ b/tests/test_call_front.py
@@ -62,11 +62,11 @@
     front = session.front
     now_ms = session.front.router.now_us() // 1000
     asked = api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000)
-    front.asked(session, asked)
+    front.on_request(session, asked)
     with pytest.raises(api.BadMessage):
-        front.asked(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000, description="other"))
-    front.asked(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000))  # the same again
-    assert front.calls["1" * 16].asked is asked
+        front.on_request(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000, description="other"))
+    front.on_request(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000))  # the same again
+    assert front.calls["1" * 16].set_up is asked
     assert front.counts["ws_set_ups"] == 1
 
 
@@ -88,8 +88,8 @@
 def test_the_end_of_a_call_is_remembered_and_then_forgotten() -> None:
     reactor, session, _ = connect()
     front = session.front
-    front.asked(session, api.SetUp("0" * 16, "ledger-read", "5", 9, 0))  # its deadline has passed
-    assert isinstance(front.calls["0" * 16].told, api.Refused)
+    front.on_request(session, api.SetUp("0" * 16, "ledger-read", "5", 9, 0))  # its deadline has passed
+    assert isinstance(front.calls["0" * 16].last_message, api.Refused)
     for _ in range(11):
         reactor.advance(5)
     assert front.calls
