--- a/astertrack/net/control.py
+++ b/astertrack/net/control.py
@@ -1,6 +1,6 @@
-"""The router's end of the control wire: reads versions, checks them between calls, and tells how they stand.
+"""The router's client of the control service: reads versions, checks them between calls, and reports their states.
 
-Thin: what a version means, and what is to be done, astertrack.versions decides.
+It is thin: astertrack.versions decides what a version means and what has to be done about it.
 """
 
 from __future__ import annotations
@@ -26,125 +26,130 @@
 from astertrack.wire.common import Malformed
 
 log = structlog.get_logger()
-DIAL_US = 1_000_000  # a connection not up after so long has failed
-SILENT_US = 3_200_000  # a comment comes every second; three lost are no chance
-REDIAL_LEAST_US, REDIAL_MOST_US = 200_000, 15_000_000  # between dials, doubling, each drawn between its half and itself
-FAILURES_OF_USE = 2  # counted at most once a version has come whole: the next dial is after 0.8 s at the latest
-SOUND_US = 5_000_000  # a stream that lasted so long was sound: the next dial is a first one
-ANSWER_US = 3_000_000  # for the whole of a status message and its answer
-# Checking takes no more than this of a turn of the reactor: calls wait that long for it, and no longer.
-TURN_US = 1_500
-PIECES = 16  # of checking between two looks at the clock; a piece takes some 5 us
-READ_MOST = 8 * 1024  # octets read at one turn: the events in them are cut and digested at once, in some 2 ms
-STOP_READING, READ_ON = 1 << 20, 1 << 18  # octets that wait to be checked: above, nothing is read; below, it is again
-TICK_INTERVAL_US = 100_000  # how often what time asks for is done
+DIAL_TIMEOUT_US = 1_000_000
+UNRESPONSIVE_TIMEOUT_US = 3_200_000  # a comment arrives every second; three missing ones are no coincidence
+# The interval between dials doubles with each failure; each is drawn at random between half of it and all of it.
+MIN_REDIAL_INTERVAL_US, MAX_REDIAL_INTERVAL_US = 200_000, 15_000_000
+# The number of failures is reduced to this once a version was received completely: the next dial is after 0.8 s at the
+# latest.
+MAX_FAILURES_AFTER_VERSION = 2
+HEALTHY_STREAM_US = 5_000_000  # a stream that lasted longer was healthy and resets the number of failures
+STATUS_TIMEOUT_US = 3_000_000  # for a status message and its response together
+# Checking takes no more than this of one reactor iteration: calls wait at most this long for it.
+CHECK_BUDGET_US = 1_500
+STEPS_PER_CLOCK_READ = 16  # of checking; a step takes about 5 us
+# Read per reactor iteration. The events in this many bytes are parsed and hashed at once, in about 2 ms.
+READ_BUFFER_BYTES = 8 * 1024
+# Bytes received and not checked yet: reading pauses above the first, and resumes below the second.
+PAUSE_READING_BYTES, RESUME_READING_BYTES = 1 << 20, 1 << 18
+TICK_INTERVAL_US = 100_000  # between ticks, which do the work that depends on time
 
 
 class VersionStream(StreamProtocol):
-    """One connection on which versions come."""
+    """One connection on which versions are received."""
 
     def __init__(self, client: ControlClient) -> None:
         self.client, self.machine = client, control.Stream()
-        self.paused = False
+        self.is_paused = False
 
     def connectionMade(self) -> None:
-        """Twisted's hook: ask for what came after the latest version accepted."""
+        """Called by Twisted when the connection is established: request what follows the latest accepted version."""
         super().connectionMade()
         transport: Any = self.transport
-        transport.bufferSize = READ_MOST
-        self.write(self.client.question())
-        self.client.begun(self)
+        transport.bufferSize = READ_BUFFER_BYTES
+        self.write(self.client.make_request())
+        self.client.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted's hook: bytes came."""
+        """Called by Twisted when bytes were received."""
         if self.is_closed:
             return
-        began = time.perf_counter()
-        self.client.alive()
+        start_s = time.perf_counter()
+        self.client.restart_unresponsive_timer()
         for event in self.machine.receive(data):
-            self.client.heard(event)
+            self.client.on_event(event)
             if self.is_closed:
                 break
         if self.machine.ended and not self.is_closed:
-            self.leave()
-        self.client.turned(began)
+            self.drop()
+        self.client.record_turn(start_s)
 
-    def pause(self, paused: bool) -> None:
-        """Stop reading, or go on."""
+    def set_paused(self, is_paused: bool) -> None:
+        """Pause or resume reading."""
         transport: Any = self.transport
-        if paused is not self.paused and transport is not None and not self.is_closed:
-            self.paused = paused
-            (transport.pauseProducing if paused else transport.resumeProducing)()
+        if is_paused is not self.is_paused and transport is not None and not self.is_closed:
+            self.is_paused = is_paused
+            (transport.pauseProducing if is_paused else transport.resumeProducing)()
 
-    def leave(self) -> None:
-        """Drop the connection, and count it as ended now."""
+    def drop(self) -> None:
+        """Abort the connection and treat it as ended from now on."""
         if not self.is_closed:
             self.is_closed = True
             self.abort()
-            self.client.ended(self)
+            self.client.on_disconnected(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted's hook: the connection has ended."""
+        """Called by Twisted when the connection has ended."""
         if not self.is_closed:
             self.is_closed = True
-            self.client.ended(self)
+            self.client.on_disconnected(self)
 
 
 class StatusMessage(StreamProtocol):
-    """One connection on which one batch of reports is told."""
+    """One connection on which one batch of reports is sent."""
 
     def __init__(self, client: ControlClient, batch: tuple[Report, ...]) -> None:
         self.client, self.batch = client, batch
         self.reader = http.Reader(http.Kind.RESPONSE)
 
     def connectionMade(self) -> None:
-        """Twisted's hook: tell."""
+        """Called by Twisted when the connection is established: send the batch."""
         super().connectionMade()
         self.write(http.request("POST", control.STATUS, self.client.address, write_reports(self.batch)))
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted's hook: bytes came."""
-        answer = self.reader.receive(data)
-        if answer is None or self.is_closed:
+        """Called by Twisted when bytes were received."""
+        response = self.reader.receive(data)
+        if response is None or self.is_closed:
             return
         self.is_closed = True
-        self.client.told(self.batch, 0 if isinstance(answer, Malformed) else answer.status)
+        self.client.on_status_response(self.batch, 0 if isinstance(response, Malformed) else response.status)
         self.abort()
 
-    def overdue(self) -> None:
-        """No answer came in time: it may have been heard, and is told again."""
+    def on_timeout(self) -> None:
+        """Fail if there was no response in time: the service may have received the batch, but it is sent again."""
         if not self.is_closed:
             self.is_closed = True
-            self.client.told(self.batch, 0)
+            self.client.on_status_response(self.batch, 0)
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted's hook: the connection has ended, perhaps before an answer."""
+        """Called by Twisted when the connection has ended, possibly before a response."""
         if not self.is_closed:
             self.is_closed = True
-            self.client.told(self.batch, 0)
+            self.client.on_status_response(self.batch, 0)
 
 
-class _Dial(ClientFactory):
-    """One attempt to connect."""
+class _DialFactory(ClientFactory):
+    """Factory of one connection attempt."""
 
     noisy = False
 
-    def __init__(self, make: Callable[[], StreamProtocol], failed: Callable[[], None]) -> None:
-        self.make, self.failed = make, failed
+    def __init__(self, build_connection: Callable[[], StreamProtocol], on_failure: Callable[[], None]) -> None:
+        self.build_connection, self.on_failure = build_connection, on_failure
 
     def buildProtocol(self, addr: IAddress | None) -> StreamProtocol:
-        """Twisted's hook for a connection that came up."""
-        return self.make()
+        """Called by Twisted when the connection is established."""
+        return self.build_connection()
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """Twisted's hook for one that did not; stopped by ourselves, it is no failure."""
+        """Called by Twisted when the connection cannot be established; an attempt stopped by this router is ignored."""
         if not failed_as(reason, UserError):
-            self.failed()
+            self.on_failure()
 
 
 class ControlClient:
-    """Keeps reading versions, and tells how they stand, until it is stopped."""
+    """Keeps reading versions and reporting their states, until it is stopped."""
 
     def __init__(self, address: str, router: str, versions: Versions, clock: ReactorClock, counts: Counter[str],
                  source: random.Random, store: Callable[[Keep | Point], None]) -> None:
@@ -152,124 +157,125 @@
         self.store, self._random = store, source
         self.outbox = Outbox(source)
         self.stream: VersionStream | None = None
-        self.longest_turn_us = 0  # of checking and reading: what a call may have waited for it
-        self.swap_durations_us: list[int] = []  # how long putting a version in force took, the latest 1,000
-        self._full = self._working = self._stopped = False
+        self.longest_turn_us = 0  # of reading and checking: how long a call may have waited for it
+        self.swap_durations_us: list[int] = []  # of putting a version in force, the latest 1,000
+        self._full_requested = self._work_scheduled = self._stopped = False
         self._connector: Any = None
-        self._silence: Timer | None = None
-        self._redial: Timer | None = None
+        self._unresponsive_timer: Timer | None = None
+        self._redial_timer: Timer | None = None
         self._failures = 0
-        self._begun_us = 0
+        self._connected_us = 0
 
-    # ---- life
+    # ---- start and stop
 
     def start(self) -> None:
-        """Dial, and look after what time asks for."""
+        """Dial, and start the periodic work."""
         if self.address:
             self.dial()
         self._tick()
 
     def stop(self) -> None:
-        """Say nothing more and read nothing more."""
+        """Stop reading versions and sending reports."""
         self._stopped = True
-        for timer in (self._silence, self._redial):
+        for timer in (self._unresponsive_timer, self._redial_timer):
             if timer is not None:
                 timer.cancel()
         if self.stream is not None:
-            self.stream.leave()
+            self.stream.drop()
         elif self._connector is not None and self._connector.state == "connecting":
             self._connector.stopConnecting()
 
     def switch_address(self, address: str) -> None:
-        """Read on at another address."""
+        """Continue at another address, host:port; an empty one stops reading."""
         if address == self.address:
             return
         self.address, self._failures = address, 0
         if self.stream is not None:
-            self.stream.leave()
-        elif address and self._redial is None and self._connector is None:
+            self.stream.drop()
+        elif address and self._redial_timer is None and self._connector is None:
             self.dial()
 
     def _tick(self) -> None:
         if self._stopped:
             return
-        began = time.perf_counter()
+        start_s = time.perf_counter()
         self.versions.tick(self.clock.now_us())
         self.execute_actions()
-        self.check()
-        self._tell()
-        self.turned(began)
+        self.schedule_work()
+        self._send_reports()
+        self.record_turn(start_s)
         self.clock.call_at(self.clock.now_us() + TICK_INTERVAL_US, self._tick)
 
-    def turned(self, began: float) -> None:
-        """Note how long a piece of work held the reactor."""
-        self.longest_turn_us = max(self.longest_turn_us, int((time.perf_counter() - began) * 1e6))
+    def record_turn(self, start_s: float) -> None:
+        """Record how long a piece of work has occupied the reactor."""
+        self.longest_turn_us = max(self.longest_turn_us, int((time.perf_counter() - start_s) * 1e6))
 
     # ---- the stream
 
     def dial(self) -> None:
         """Connect."""
-        self._redial = None
+        self._redial_timer = None
         if self._stopped or not self.address:
             return
         self.counts["control_dials"] += 1
         host, _, port = self.address.rpartition(":")
         self._connector = self.clock.reactor.connectTCP(
-            host, int(port), _Dial(lambda: VersionStream(self), self._failed), timeout=DIAL_US / 1e6)
+            host, int(port), _DialFactory(lambda: VersionStream(self), self._on_dial_failed),
+            timeout=DIAL_TIMEOUT_US / 1e6)
 
-    def _failed(self) -> None:
+    def _on_dial_failed(self) -> None:
         self._connector = None
-        self._again()
+        self._schedule_redial()
 
-    def question(self) -> bytes:
-        """Return what is asked at the start of a stream."""
-        full, self._full = self._full, False
+    def make_request(self) -> bytes:
+        """Return the request that opens a stream."""
+        full, self._full_requested = self._full_requested, False
         newest = self.versions.newest
         return control.ask(self.address, self.router, str(newest) if newest is not None else "", full)
 
-    def begun(self, stream: VersionStream) -> None:
-        """A connection is up and has asked."""
+    def on_connected(self, stream: VersionStream) -> None:
+        """Take over a connection that is established and has sent its request."""
         self.stream, self._connector = stream, None
-        self._begun_us = self.clock.now_us()
+        self._connected_us = self.clock.now_us()
         self.counts["control_connections"] += 1
-        self.alive()
+        self.restart_unresponsive_timer()
 
-    def alive(self) -> None:
-        """Bytes came."""
-        if self._silence is not None:
-            self._silence.cancel()
-        self._silence = self.clock.call_at(self.clock.now_us() + SILENT_US, self._silent)
+    def restart_unresponsive_timer(self) -> None:
+        """Restart the timer that drops the connection when nothing is received."""
+        if self._unresponsive_timer is not None:
+            self._unresponsive_timer.cancel()
+        self._unresponsive_timer = self.clock.call_at(self.clock.now_us() + UNRESPONSIVE_TIMEOUT_US, self._on_unresponsive)
 
-    def _silent(self) -> None:
-        if self.stream is None or self.stream.paused:
-            return  # it is not read; once it is read again, alive() watches on
+    def _on_unresponsive(self) -> None:
+        if self.stream is None or self.stream.is_paused:
+            return  # nothing is being read; the timer is restarted when reading resumes
         self.counts["control_silent"] += 1
-        log.warning("control service fell silent", address=self.address)
-        self.stream.leave()
+        log.warning("control service is unresponsive", address=self.address)
+        self.stream.drop()
 
-    def ended(self, stream: VersionStream) -> None:
-        """A connection has ended: what came in part is dropped, and it is dialled again."""
+    def on_disconnected(self, stream: VersionStream) -> None:
+        """Drop what was received incompletely, and dial again."""
         if stream is not self.stream:
             return
         self.stream = None
-        if self._silence is not None:
-            self._silence.cancel()
+        if self._unresponsive_timer is not None:
+            self._unresponsive_timer.cancel()
         self.versions.broken()
         self.execute_actions()
-        if self.clock.now_us() - self._begun_us > SOUND_US:
+        if self.clock.now_us() - self._connected_us > HEALTHY_STREAM_US:
             self._failures = 0
-        self._again()
+        self._schedule_redial()
 
-    def _again(self) -> None:
-        if self._stopped or self._redial is not None:
+    def _schedule_redial(self) -> None:
+        if self._stopped or self._redial_timer is not None:
             return
-        longest = min(REDIAL_MOST_US, REDIAL_LEAST_US << min(self._failures, 16))
+        max_delay_us = min(MAX_REDIAL_INTERVAL_US, MIN_REDIAL_INTERVAL_US << min(self._failures, 16))
         self._failures += 1
-        wait = int(longest * (0.5 + 0.5 * self._random.random()))
-        self._redial = self.clock.call_at(self.clock.now_us() + wait, self.dial)
+        delay_us = int(max_delay_us * (0.5 + 0.5 * self._random.random()))
+        self._redial_timer = self.clock.call_at(self.clock.now_us() + delay_us, self.dial)
 
-    def heard(self, event: control.Event) -> None:
-        """Pass on what came."""
+    def on_event(self, event: control.Event) -> None:
+        """Pass an event of the stream to the versions."""
         now = self.clock.now_us()
         match event:
             case control.Head(raw):
@@ -278,56 +284,56 @@
                 self.versions.lines(lines)
             case control.End():
                 self.versions.end(now)
-                # A stream that brings versions is worth dialling again soon, though it breaks: after four breaks in
-                # ten seconds a router was away for eleven.
-                self._failures = min(self._failures, FAILURES_OF_USE)
+                # A stream that delivers versions is worth redialling soon even if it breaks off: with the full backoff,
+                # four breaks in ten seconds kept a router away for eleven.
+                self._failures = min(self._failures, MAX_FAILURES_AFTER_VERSION)
             case Malformed(reason):
                 self.counts["control_malformed"] += 1
-                log.warning("control service sent what cannot be read", reason=reason)
+                log.warning("malformed data from the control service", reason=reason)
         self.execute_actions()
-        self.check()
+        self.schedule_work()
 
     # ---- checking
 
-    def check(self) -> None:
-        """Check on at the next turns, if there is anything to check; stop reading while much waits for it."""
+    def schedule_work(self) -> None:
+        """Schedule checking if there is anything to check; pause reading while much waits to be checked."""
         if self.stream is not None:
-            if self.versions.waiting > STOP_READING:
-                self.stream.pause(True)
-            elif self.stream.paused and self.versions.waiting < READ_ON:
-                self.stream.pause(False)
-                self.alive()
-        if self.versions.busy and not self._working:
-            self._working = True
+            if self.versions.waiting > PAUSE_READING_BYTES:
+                self.stream.set_paused(True)
+            elif self.stream.is_paused and self.versions.waiting < RESUME_READING_BYTES:
+                self.stream.set_paused(False)
+                self.restart_unresponsive_timer()
+        if self.versions.busy and not self._work_scheduled:
+            self._work_scheduled = True
             self.clock.reactor.callLater(0, self._work)
 
     def _work(self) -> None:
-        self._working = False
-        began = time.perf_counter()
-        until, now = began + TURN_US / 1e6, self.clock.now_us()
-        while self._pieces(now) and time.perf_counter() < until:
+        self._work_scheduled = False
+        start_s = time.perf_counter()
+        end_s, now = start_s + CHECK_BUDGET_US / 1e6, self.clock.now_us()
+        while self._do_steps(now) and time.perf_counter() < end_s:
             pass
         self.execute_actions()
-        self.turned(began)
-        self.check()
+        self.record_turn(start_s)
+        self.schedule_work()
 
-    def _pieces(self, now_us: int) -> bool:
-        """Do a few pieces of checking; False: there is nothing left to do now."""
-        for _ in range(PIECES):
-            in_force, began = self.versions.in_force, time.perf_counter()
+    def _do_steps(self, now_us: int) -> bool:
+        """Do a few steps of checking, and return whether there may be more to do now."""
+        for _ in range(STEPS_PER_CLOCK_READ):
+            in_force, start_s = self.versions.in_force, time.perf_counter()
             if not self.versions.work(now_us):
                 return False
-            if self.versions.in_force is not in_force:  # that piece put a version in force
-                self.swap_durations_us.append(int((time.perf_counter() - began) * 1e6))
+            if self.versions.in_force is not in_force:  # this step put a version in force
+                self.swap_durations_us.append(int((time.perf_counter() - start_s) * 1e6))
                 del self.swap_durations_us[:-1000]
         return True
 
     def execute_actions(self) -> None:
-        """Do what the versions ask for."""
+        """Execute the actions that the versions request."""
         for action in self.versions.take():
-            self._do(action)
+            self._execute(action)
 
-    def _do(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Tell(report):
                 if self.address:
@@ -335,38 +341,40 @@
             case Keep() | Point():
                 self.store(action)
             case AskFull():
-                self._full = True
+                self._full_requested = True
                 self.counts["control_asked_full"] += 1
                 if self.stream is not None:
-                    # Not from within the reading of the stream itself: what it still holds is of no use now.
-                    self.clock.reactor.callLater(0, self.stream.leave)
+                    # Not while the stream's own data is being processed; the rest of that data is of no use now.
+                    self.clock.reactor.callLater(0, self.stream.drop)
             case Note(event, values):
                 log.info(event, **dict(values))
 
     # ---- status
 
-    def _tell(self) -> None:
+    def _send_reports(self) -> None:
         batch = self.outbox.batch(self.clock.now_us())
         if not batch:
             return
         self.counts["control_status_sent"] += 1
         host, _, port = self.address.rpartition(":")
 
-        def make() -> StreamProtocol:
+        def build_connection() -> StreamProtocol:
             message = StatusMessage(self, batch)
-            self.clock.call_at(self.clock.now_us() + ANSWER_US, message.overdue)
+            self.clock.call_at(self.clock.now_us() + STATUS_TIMEOUT_US, message.on_timeout)
             return message
 
-        self.clock.reactor.connectTCP(host, int(port), _Dial(make, lambda: self.told(batch, 0)), timeout=DIAL_US / 1e6)
+        self.clock.reactor.connectTCP(
+            host, int(port), _DialFactory(build_connection, lambda: self.on_status_response(batch, 0)),
+            timeout=DIAL_TIMEOUT_US / 1e6)
 
-    def told(self, batch: tuple[Report, ...], status: int) -> None:
-        """Take the answer to a batch: 0 stands for none."""
+    def on_status_response(self, batch: tuple[Report, ...], status: int) -> None:
+        """Process the HTTP status of the response to a batch; 0 means that there was none."""
         if 200 <= status < 300:
             self.counts["control_reports_heard"] += len(batch)
             self.outbox.heard(batch)
-        elif status == 400:  # it will not be read next time either
+        elif status == 400:  # it would be rejected the next time, too
             self.counts["control_reports_unreadable"] += len(batch)
-            log.warning("control service cannot read our reports", reports=len(batch))
+            log.warning("control service rejected reports as malformed", reports=len(batch))
             self.outbox.heard(batch)
         else:
             self.counts["control_status_failed"] += 1
