--- a/astertrack/net/callers.py
+++ b/astertrack/net/callers.py
@@ -280,7 +280,7 @@
             return None
         dest, width, via = attrs.get("dest", -1.0), attrs.get("width", 1.0), attrs.get("via", -1.0)
         now, max_wait_us = self.router.now_us(), self.router.settings.classes[service].deadline_us
-        min_dest = -1 if self.router.gate.resolves_destination else 0  # -1: no destination; the plan finds it by the number
+        min_dest = -1 if self.router.gate.resolves_destination else 0  # -1: the plan finds it by the number
         if not (min_dest <= dest < 2**31 and dest.is_integer() and 0 < width <= MAX_WIDTH
                 and -1 <= via < 2**31 and via.is_integer() and event.wait_ms * 1000 <= MAX_DEADLINE_RATIO * max_wait_us
                 and attrs.get("transit", 0) in (0, 1) and attrs.get("again", 0) in (0, 1)):
--- a/astertrack/net/control.py
+++ b/astertrack/net/control.py
@@ -244,7 +244,8 @@
         """Restart the timer that drops the connection when nothing is received."""
         if self._unresponsive_timer is not None:
             self._unresponsive_timer.cancel()
-        self._unresponsive_timer = self.clock.call_at(self.clock.now_us() + UNRESPONSIVE_TIMEOUT_US, self._on_unresponsive)
+        self._unresponsive_timer = self.clock.call_at(
+            self.clock.now_us() + UNRESPONSIVE_TIMEOUT_US, self._on_unresponsive)
 
     def _on_unresponsive(self) -> None:
         if self.stream is None or self.stream.is_paused:
