--- a/astertrack/net/versionserver.py
+++ b/astertrack/net/versionserver.py
@@ -1,4 +1,4 @@
-"""A control service for small installations: serves the versions of a catalogue, and hears what routers report."""
+"""A control service for small installations: sends the versions of a catalogue and records the routers' reports."""
 
 from __future__ import annotations
 
@@ -21,94 +21,94 @@
 from astertrack.wire.common import Malformed
 
 log = structlog.get_logger()
-COMMENT_US = 1_000_000  # between signs of life
-ASK_US = 5_000_000  # a request not whole after so long is given up
-CONNECTIONS_MOST = 2_000
+COMMENT_INTERVAL_US = 1_000_000  # between the comments that keep a stream alive
+REQUEST_TIMEOUT_US = 5_000_000  # for a complete request, until the connection is closed
+MAX_CONNECTIONS = 2_000
 
 
 @implementer(IPullProducer)
-class Router(StreamProtocol):
-    """One connection: a stream of versions, or one message of status."""
+class RouterConnection(StreamProtocol):
+    """One connection from a router: a stream of versions, or one status message."""
 
     def __init__(self, service: VersionService) -> None:
         self.service = service
         self.reader = http.Reader(http.Kind.REQUEST)
-        self.asked: control.Asked | None = None
-        self.sent = ""  # the version that it has been sent last
+        self.stream_request: control.Asked | None = None
+        self.last_sent = ""  # the id of the version that was sent last
         self.queue: deque[Iterator[bytes]] = deque()
-        self.producing = False
+        self.is_producing = False
 
     def connectionMade(self) -> None:
-        """Twisted's hook: the connection is up."""
+        """Called by Twisted when the connection is established."""
         super().connectionMade()
         self.service.connections.add(self)
         clock = self.service.clock
-        clock.call_at(clock.now_us() + ASK_US, self._overdue)
+        clock.call_at(clock.now_us() + REQUEST_TIMEOUT_US, self._on_request_timeout)
 
-    def _overdue(self) -> None:
+    def _on_request_timeout(self) -> None:
         if not self.reader.done:
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted's hook: the connection has ended."""
+        """Called by Twisted when the connection has ended."""
         self.is_closed = True
         self.queue.clear()
         self.service.connections.discard(self)
         self.service.streams.discard(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted's hook: bytes came."""
+        """Called by Twisted when bytes were received."""
         message = self.reader.receive(data)
         if message is None:
             return
         if isinstance(message, Malformed):
             self.service.counts["malformed"] += 1
-            self._answer(400, "Bad Request", message.reason.encode())
-        elif (asked := control.read_ask(message)) is not None:
-            self.asked, self.sent = asked, asked.after
+            self._respond(400, "Bad Request", message.reason.encode())
+        elif (stream_request := control.read_ask(message)) is not None:
+            self.stream_request, self.last_sent = stream_request, stream_request.after
             self.service.counts["streams"] += 1
             self.service.streams.add(self)
             self.write(http.stream())
-            self.offer(asked.full)
+            self.send_next(stream_request.full)
         elif message.target == control.STATUS and message.method == "POST":
-            self._status(message.body)
+            self._on_status(message.body)
         elif message.target == control.STATUS and message.method == "GET":
-            self._answer(200, "OK", msgspec.json.encode(list(self.service.ledger.rows())))
+            self._respond(200, "OK", msgspec.json.encode(list(self.service.ledger.rows())))
         else:
-            self._answer(404, "Not Found", b"no such thing here")
+            self._respond(404, "Not Found", b"no such thing here")
 
-    def _status(self, body: bytes) -> None:
+    def _on_status(self, body: bytes) -> None:
         try:
             reports = read_reports(body)
-        except ValueError as wrong:
+        except ValueError as error:
             self.service.counts["reports_unreadable"] += 1
-            self._answer(400, "Bad Request", str(wrong).encode())
+            self._respond(400, "Bad Request", str(error).encode())
             return
-        self.service.hear(reports)
-        self._answer(204, "No Content")
+        self.service.record_reports(reports)
+        self._respond(204, "No Content")
 
-    def _answer(self, status: int, phrase: str, body: bytes = b"") -> None:
+    def _respond(self, status: int, phrase: str, body: bytes = b"") -> None:
         self.write(http.response(status, phrase, body))
         self.close()
 
-    def offer(self, full: bool = False) -> None:
-        """Send what is newer than what it was sent last."""
-        document = self.service.catalogue.next_for(self.sent, full)
+    def send_next(self, full: bool = False) -> None:
+        """Send the version that follows the one sent last, if there is one."""
+        document = self.service.catalogue.next_for(self.last_sent, full)
         if document is not None:
-            self.sent = str(document.header.id)
-            self.send(document)
+            self.last_sent = str(document.header.id)
+            self.send_version(document)
 
-    def send(self, document: Document) -> None:
-        """Send a version, as fast as it is read."""
+    def send_version(self, document: Document) -> None:
+        """Send a version, as fast as the router reads it."""
         header = document.header
         self.queue.append(control.version(write_header(header), document.lines, str(header.id)))
         transport: Any = self.transport
-        if not self.producing and transport is not None:
-            self.producing = True
+        if not self.is_producing and transport is not None:
+            self.is_producing = True
             transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:
-        """Twisted's hook: there is room for the next event."""
+        """Called by Twisted when the write buffer has room for the next event."""
         transport: Any = self.transport
         while self.queue:
             event = next(self.queue[0], None)
@@ -116,16 +116,16 @@
                 self.write(event)
                 return
             self.queue.popleft()
-        self.producing = False
+        self.is_producing = False
         transport.unregisterProducer()
 
     def stopProducing(self) -> None:
-        """Twisted's hook: the connection has ended."""
+        """Called by Twisted when the connection has ended."""
         self.queue.clear()
 
-    def comment(self) -> None:
-        """Give a sign of life, unless versions are under way."""
-        if not self.producing:
+    def send_comment(self) -> None:
+        """Send a comment to keep the stream alive, unless a version is being sent."""
+        if not self.is_producing:
             self.write(control.comment())
 
 
@@ -137,30 +137,30 @@
     def __init__(self, catalogue: Catalogue, clock: ReactorClock) -> None:
         self.catalogue, self.clock, self.ledger = catalogue, clock, Ledger()
         self.counts: Counter[str] = Counter()
-        self.connections: set[Router] = set()
-        self.streams: set[Router] = set()
-        clock.call_at(clock.now_us() + COMMENT_US, self._comment)
+        self.connections: set[RouterConnection] = set()
+        self.streams: set[RouterConnection] = set()
+        clock.call_at(clock.now_us() + COMMENT_INTERVAL_US, self._send_comments)
 
-    def buildProtocol(self, addr: IAddress | None) -> Router | None:
-        """Twisted's hook for a new connection; None refuses it."""
-        if len(self.connections) >= CONNECTIONS_MOST:
+    def buildProtocol(self, addr: IAddress | None) -> RouterConnection | None:
+        """Called by Twisted when a connection is accepted; None refuses it."""
+        if len(self.connections) >= MAX_CONNECTIONS:
             self.counts["connections_refused"] += 1
             return None
-        return Router(self)
+        return RouterConnection(self)
 
-    def _comment(self) -> None:
+    def _send_comments(self) -> None:
         for stream in list(self.streams):
-            stream.comment()
-        self.clock.call_at(self.clock.now_us() + COMMENT_US, self._comment)
+            stream.send_comment()
+        self.clock.call_at(self.clock.now_us() + COMMENT_INTERVAL_US, self._send_comments)
 
     def publish(self, id: VersionId, plan: Any, in_force_ms: int = 0) -> None:
-        """Publish a version, and send it to every router that listens. Raises ValueError if it is out of order."""
+        """Publish a version and send it to all connected routers. Raises ValueError if it is out of order."""
         self.catalogue.publish(id, plan, in_force_ms)
         for stream in list(self.streams):
-            stream.offer()
+            stream.send_next()
 
-    def hear(self, reports: list[Report]) -> None:
-        """Take what a router reports."""
+    def record_reports(self, reports: list[Report]) -> None:
+        """Record a router's reports, and log the new ones."""
         for report in self.ledger.hear(reports):
             log.info("report", router=report.router, version=f"{report.epoch}.{report.number}", stand=report.stand,
                      reason=report.reason, path=report.path, expected=report.expected)
