--- a/astertrack/net/bulletin.py
+++ b/astertrack/net/bulletin.py
@@ -1,4 +1,4 @@
-"""The bulletin: the events known at the start, and those read since over server-sent events."""
+"""The bulletin: parses the events known at the start, and reads later ones as server-sent events."""
 
 from __future__ import annotations
 
@@ -21,16 +21,20 @@
 from ospreylug import interface as io
 
 log = structlog.get_logger()
-# A comment comes every second. What is told counts as heard 4 s after a stop: 3.5 s and a dial were too many.
-SILENT_US = 2_200_000
-REDIAL_US = 200_000
-DIAL_US = 1_000_000
-STATES = {"in_service": io.Readiness.READY, "terminating": io.Readiness.DRAINING,
-          "terminated": io.Readiness.GONE}
+# The bulletin sends a comment every second. A router is expected to know an event at most 4 s after a connection
+# stopped delivering; a timeout of 3.5 s together with a dial took longer.
+UNRESPONSIVE_TIMEOUT_US = 2_200_000
+REDIAL_INTERVAL_US = 200_000
+DIAL_TIMEOUT_US = 1_000_000
+STATUS_READINESS = {"in_service": io.Readiness.READY, "terminating": io.Readiness.DRAINING,
+                    "terminated": io.Readiness.GONE}
 
 
 def read_event(raw: Any, zones: list[str], kinds: list[str]) -> tuple[int, bool, list[Endpoint]]:
-    """Read an event's number, whether its list is complete, and the list."""
+    """Parse a decoded event: return its number, whether its list of peers is complete, and the list.
+
+    Raises MalformedError.
+    """
     try:
         roster = raw["roster"]
         endpoints = []
@@ -42,144 +46,146 @@
             zone, kind = item.get("zone"), item.get("type")
             endpoints.append(Endpoint(address, io.Entry(
                 exchange=name, number=int(item["group"]), zone=zones.index(zone) if zone in zones else -1,
-                kind=kinds.index(kind) if kind in kinds else 0, readiness=STATES[item["status"]],
+                kind=kinds.index(kind) if kind in kinds else 0, readiness=STATUS_READINESS[item["status"]],
                 weight=float(item.get("weight") or 1.0),
                 started_us=int(item.get("since_ms") or 0) * 1000 or None)))
         return int(raw["no"]), bool(roster.get("snapshot")), endpoints
-    except (KeyError, TypeError, ValueError, AttributeError) as wrong:
-        raise MalformedError(f"bulletin event: {wrong!r}") from None
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise MalformedError(f"bulletin event: {error!r}") from None
 
 
-class Reading(StreamProtocol):
+class BulletinConnection(StreamProtocol):
     """One connection to the bulletin."""
 
     def __init__(self, bulletin: Bulletin) -> None:
         self.bulletin = bulletin
         self.machine = sse.Client()
-        self.left = False  # for another connection: what still comes or ends here means nothing
+        self.is_closed = False  # replaced by another connection: what still arrives on it, or its end, is ignored
 
     def connectionMade(self) -> None:
-        """Twisted's hook: ask for what came after the last event heard of."""
+        """Called by Twisted when the connection is established: request what follows the last received event."""
         super().connectionMade()
-        self.write(sse.get("/bulletins", self.bulletin.address, str(self.bulletin.last)))
-        self.bulletin.begun(self)
+        self.write(sse.get("/bulletins", self.bulletin.address, str(self.bulletin.last_event)))
+        self.bulletin.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted's hook: bytes came."""
-        if self.left:
+        """Called by Twisted when bytes were received."""
+        if self.is_closed:
             return
-        self.bulletin.alive()
+        self.bulletin.restart_unresponsive_timer()
         for event in self.machine.receive(data):
             if isinstance(event, Malformed):
                 self.bulletin.counts["bulletin_malformed"] += 1
-                log.warning("bulletin sent what cannot be read", reason=event.reason)
+                log.warning("malformed data from the bulletin", reason=event.reason)
             else:
-                self.bulletin.heard(event)
-            if self.left:
+                self.bulletin.on_event(event)
+            if self.is_closed:
                 return
         if self.machine.ended:
-            self.leave()
+            self.drop()
 
-    def leave(self) -> None:
-        """Drop the connection, and count it as ended now: the close of a dead one may take its time."""
+    def drop(self) -> None:
+        """Abort the connection and treat it as ended from now on: the close of a dead one may be delayed."""
         self.abort()
-        self._ended()
+        self._on_ended()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted's hook: the connection has ended."""
-        self._ended()
+        """Called by Twisted when the connection has ended."""
+        self._on_ended()
 
-    def _ended(self) -> None:
-        if not self.left:
-            self.left = True
-            self.bulletin.ended()
+    def _on_ended(self) -> None:
+        if not self.is_closed:
+            self.is_closed = True
+            self.bulletin.on_disconnected()
 
 
 class Bulletin(ClientFactory):
-    """Keeps reading the bulletin, and tells of the peers."""
+    """Keeps reading the bulletin, and passes on changes of the roster."""
 
     noisy = False
 
-    def __init__(self, address: str, last: int, zones: list[str], kinds: list[str], clock: ReactorClock,
-                 counts: Counter[str], tell: Callable[[bool, list[Endpoint]], None]) -> None:
-        self.address, self.last, self.zones, self.kinds = address, last, zones, kinds
-        self.clock, self.counts, self.tell = clock, counts, tell
+    def __init__(self, address: str, last_event: int, zones: list[str], kinds: list[str], clock: ReactorClock,
+                 counts: Counter[str], on_change: Callable[[bool, list[Endpoint]], None]) -> None:
+        self.address, self.last_event, self.zones, self.kinds = address, last_event, zones, kinds
+        self.clock, self.counts, self.on_change = clock, counts, on_change
         self.connector: Any = None
-        self.reading: Reading | None = None
-        self._silence: Timer | None = None
-        self._redial: Timer | None = None
-        self._asked_again = -1  # after which event one that could not be read was asked for again
+        self.connection: BulletinConnection | None = None
+        self._unresponsive_timer: Timer | None = None
+        self._redial_timer: Timer | None = None
+        self._retried_after = -1  # the event after which a malformed one was requested again
 
-    def buildProtocol(self, addr: IAddress | None) -> Reading:
-        """Twisted's hook for a connection that came up."""
-        return Reading(self)
+    def buildProtocol(self, addr: IAddress | None) -> BulletinConnection:
+        """Called by Twisted when the connection is established."""
+        return BulletinConnection(self)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        """Twisted's hook for one that did not."""
-        if connector is self.connector:  # not one given up for another address
-            self.ended()
+        """Called by Twisted when the connection cannot be established."""
+        if connector is self.connector:  # not an attempt that was stopped for another address
+            self.on_disconnected()
 
     def dial(self) -> None:
         """Connect."""
-        self._redial = None
+        self._redial_timer = None
         host, _, port = self.address.rpartition(":")
         self.counts["bulletin_dials"] += 1
-        self.connector = self.clock.reactor.connectTCP(host, int(port), self, timeout=DIAL_US / 1e6)
+        self.connector = self.clock.reactor.connectTCP(host, int(port), self, timeout=DIAL_TIMEOUT_US / 1e6)
 
     def switch_address(self, address: str) -> None:
-        """Read on at another address, from the last event heard of.
+        """Continue at another address, host:port, after the last received event.
 
-        Guards a new configuration under load: the old address tells nothing more, though its connections stay
-        open for a while. What is known of the peers stays.
+        This keeps events coming when the configuration changes under load: the old address sends no more of them,
+        although its connections stay open for a while. The known peers are kept.
         """
         self.address = address
-        reading, connector, self.connector = self.reading, self.connector, None
-        if reading is not None:
-            reading.leave()
+        connection, connector, self.connector = self.connection, self.connector, None
+        if connection is not None:
+            connection.drop()
         elif connector is not None and connector.state == "connecting":
             connector.stopConnecting()
-        if self._redial is not None:
-            self._redial.cancel()
+        if self._redial_timer is not None:
+            self._redial_timer.cancel()
         self.dial()
 
-    def begun(self, reading: Reading) -> None:
-        """A connection is up and has asked."""
-        self.reading = reading
-        self.alive()
-
-    def alive(self) -> None:
-        """A byte came."""
-        if self._silence is not None:
-            self._silence.cancel()
-        self._silence = self.clock.call_at(self.clock.now_us() + SILENT_US, self._silent)
-
-    def _silent(self) -> None:
-        log.warning("bulletin fell silent")
-        if self.reading is not None:
-            self.reading.leave()
-
-    def ended(self) -> None:
-        """Connect again soon."""
-        self.reading = None
-        if self._silence is not None:
-            self._silence.cancel()
-        if self._redial is None:
-            self._redial = self.clock.call_at(self.clock.now_us() + REDIAL_US, self.dial)
-
-    def heard(self, event: sse.ServerSentEvent) -> None:
-        """Tell of an event, once."""
+    def on_connected(self, connection: BulletinConnection) -> None:
+        """Take over a connection that is established and has sent its request."""
+        self.connection = connection
+        self.restart_unresponsive_timer()
+
+    def restart_unresponsive_timer(self) -> None:
+        """Restart the timer that drops the connection when nothing is received."""
+        if self._unresponsive_timer is not None:
+            self._unresponsive_timer.cancel()
+        self._unresponsive_timer = self.clock.call_at(
+            self.clock.now_us() + UNRESPONSIVE_TIMEOUT_US, self._on_unresponsive)
+
+    def _on_unresponsive(self) -> None:
+        log.warning("bulletin is unresponsive")
+        if self.connection is not None:
+            self.connection.drop()
+
+    def on_disconnected(self) -> None:
+        """Schedule a redial after a connection has ended or could not be established."""
+        self.connection = None
+        if self._unresponsive_timer is not None:
+            self._unresponsive_timer.cancel()
+        if self._redial_timer is None:
+            self._redial_timer = self.clock.call_at(self.clock.now_us() + REDIAL_INTERVAL_US, self.dial)
+
+    def on_event(self, event: sse.ServerSentEvent) -> None:
+        """Pass on the change of the roster that an event describes, once per event."""
         try:
             number, complete, endpoints = read_event(json.loads(event.data), self.zones, self.kinds)
-        except (MalformedError, json.JSONDecodeError, RecursionError) as wrong:
+        except (MalformedError, json.JSONDecodeError, RecursionError) as error:
             self.counts["bulletin_malformed"] += 1
-            log.warning("bulletin event that cannot be read", error=str(wrong))
-            # Spoilt on its way, it comes again whole: asked for once, for it may have been written so.
-            if self._asked_again != self.last and self.reading is not None:
-                self._asked_again = self.last
-                self.reading.leave()
+            log.warning("malformed bulletin event", error=str(error))
+            # If it was corrupted on its way, it arrives intact when requested again. It is requested again only once,
+            # because it may be malformed at its source.
+            if self._retried_after != self.last_event and self.connection is not None:
+                self._retried_after = self.last_event
+                self.connection.drop()
             return
-        if number <= self.last:
+        if number <= self.last_event:
             return
-        self.last = number
+        self.last_event = number
         self.counts["bulletin_events"] += 1
-        self.tell(complete, endpoints)
+        self.on_change(complete, endpoints)
--- a/tests/test_bulletin.py
+++ b/tests/test_bulletin.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from astertrack.net.bulletin import REDIAL_US, SILENT_US, read_event
+from astertrack.net.bulletin import REDIAL_INTERVAL_US, UNRESPONSIVE_TIMEOUT_US, read_event
 from laboratory.stand_ins import BinaryNode, Node, SipCaller, program, until
 
 
@@ -147,7 +147,7 @@
 
 
 def test_a_bulletin_that_falls_silent_is_asked_again_before_what_it_told_counts() -> None:
-    assert SILENT_US + REDIAL_US < 3_000_000  # of the 4 s allowed, with room for a dial
+    assert UNRESPONSIVE_TIMEOUT_US + REDIAL_INTERVAL_US < 3_000_000  # of the 4 s allowed, with room for a dial
 
 
 def test_an_event_is_read_into_entries() -> None:
