--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -1,4 +1,4 @@
-"""Destinations that speak the call-control API over WebSocket: a call router is their client."""
+"""Destinations that speak the call-control API over WebSocket, of which the router is a client."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
 from ospreylug import interface as io
 
 log = structlog.get_logger()
-REASONS = {"no-circuit": io.Cause.NO_CIRCUIT, "turned-back": io.Cause.CRANKBACK,
-           "far-processor-full": io.Cause.CRANKBACK_FULL, "processor-full": io.Cause.PROCESSOR_FULL,
-           "lines-busy": io.Cause.LINES_BUSY}
+REASON_CAUSES = {"no-circuit": io.Cause.NO_CIRCUIT, "turned-back": io.Cause.CRANKBACK,
+                 "far-processor-full": io.Cause.CRANKBACK_FULL, "processor-full": io.Cause.PROCESSOR_FULL,
+                 "lines-busy": io.Cause.LINES_BUSY}
 
 
 class ApiConnection(StreamProtocol):
-    """One socket to a destination."""
+    """One WebSocket connection to a destination."""
 
     def __init__(self, link: ApiLink) -> None:
         self.link = link
         self.machine = ws.WebSocket(ws.Role.CLIENT, link.path, link.address)
 
     def connectionMade(self) -> None:
-        """Twisted's hook: the connection is up; the socket is once the handshake is done."""
+        """Called by Twisted when the connection is established; the socket is open after the handshake."""
         super().connectionMade()
         self.machine.connect()
         self.write(self.machine.take())
         clock = self.link.clock
-        clock.call_at(clock.now_us() + self.link.dial_timeout_us, self._overdue)
+        clock.call_at(clock.now_us() + self.link.dial_timeout_us, self._on_handshake_timeout)
 
-    def _overdue(self) -> None:
-        """Guards against a server that never shakes hands: nothing would dial again."""
+    def _on_handshake_timeout(self) -> None:
+        """Abort an incomplete handshake: while a server never completes it, nothing would dial again."""
         if self.machine.state is ws.State.CONNECTING:
             self.abort()
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted's hook: bytes came."""
+        """Called by Twisted when bytes were received."""
         if self.is_closed:
             return
         self.link.record_activity()
@@ -52,36 +52,36 @@
                 case ws.Opened():
                     self.link.on_connected(self)
                 case ws.Text(raw):
-                    self._text(raw)
+                    self._on_text(raw)
                 case ws.Closed():
                     self.write(self.machine.take())
                     self.close()
                     self.link.mark_ended(self)
                 case Malformed(reason):
                     self.link.counts["peer_malformed"] += 1
-                    log.warning("destination sent what cannot be read", peer=self.link.name, reason=reason)
+                    log.warning("malformed data from a destination", peer=self.link.name, reason=reason)
                     self.link.abort_connection(self)
             if self.is_closed:
                 return
         self.write(self.machine.take())
 
-    def _text(self, raw: str) -> None:
+    def _on_text(self, raw: str) -> None:
         try:
-            self.link.heard(api.read_reply(raw))
-        except api.BadMessage as wrong:
+            self.link.on_message(api.read_reply(raw))
+        except api.BadMessage as error:
             self.link.counts["peer_malformed"] += 1
-            log.warning("destination sent what cannot be read", peer=self.link.name, reason=wrong.reason)
+            log.warning("malformed message from a destination", peer=self.link.name, reason=error.reason)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted's hook: the connection has ended."""
+        """Called by Twisted when the connection has ended."""
         self.link.on_disconnected(self, reason)
 
     def ping(self) -> None:
-        """Ask for a sign of life."""
+        """Send a ping."""
         self.machine.ping()
         self.write(self.machine.take())
 
-    def tell(self, message: api.Message) -> None:
+    def send_message(self, message: api.Message) -> None:
         """Send a message."""
         self.machine.send(api.write(message))
         self.write(self.machine.take())
@@ -89,72 +89,76 @@
 
 @dataclass(eq=False)
 class ApiLink(Link):
-    """The way to one destination."""
+    """The link to one destination."""
 
     path: str = "/calls"
-    # Not tried again there: the API's servers remember an id that was given up, and never set it up twice.
+    # Such a set-up is not tried again at the same destination: servers of the API remember the id of a cancelled
+    # set-up, and never set it up a second time.
     connection_lost_outcome: io.Outcome = io.Outcome.NUMBER_FAULT
 
     def build_connection(self) -> ApiConnection:
-        """Make the protocol of a new connection."""
+        """Build the protocol of a new connection."""
         return ApiConnection(self)
 
-    def _tell(self, message: api.Message) -> None:
+    def _send_message(self, message: api.Message) -> None:
+        """Send a message if there is a connection. Raises ValueError if it is a set-up that is too long."""
         if isinstance(message, api.SetUp) and len(api.write(message).encode()) > MAX_MESSAGE_BYTES:
             raise ValueError("message too long")
         if isinstance(self.connection, ApiConnection):
-            self.connection.tell(message)
+            self.connection.send_message(message)
 
     def send_set_up(self, request: Request, deadline_us: int) -> None:
-        """Write a set-up; its deadline travels as the instant it is."""
-        self._tell(api.SetUp(request.call_id, request.service_name, request.number, request.dest, deadline_us // 1000,
-                             request.description.decode("utf-8", "replace"),
-                             request.width, request.dest != self.number(), again=request.cut_before))
+        """Send a set-up. The message gives the deadline as a Unix time in milliseconds."""
+        self._send_message(api.SetUp(
+            request.call_id, request.service_name, request.number, request.dest, deadline_us // 1000,
+            request.description.decode("utf-8", "replace"),
+            request.width, request.dest != self.number(), again=request.cut_before))
 
     def number(self) -> int:
-        """Return the exchange's number: a call for another one goes through it in transit."""
+        """Return the number of the destination's exchange; a call for another exchange is in transit there."""
         entry = self.router.roster.get(self.name)
         return entry.number if entry is not None else -1
 
     def send_release(self, call: str, cause: int, answered: bool) -> None:
-        """Write a cancel or a release: the API keeps them apart."""
-        self._tell(api.Release(call, cause) if answered else api.Cancel(call))
+        """Send a cancel or a release, for which the API has different messages."""
+        self._send_message(api.Release(call, cause) if answered else api.Cancel(call))
 
     def probe(self) -> None:
-        """Ask the socket for a sign of life, and answer for it: a ping tells nothing of a processor."""
-        up = self.connection is not None
+        """Ping the destination, and report a result at once: a ping says nothing about the load of its processor."""
+        is_connected = self.connection is not None
         if isinstance(self.connection, ApiConnection):
             self.connection.ping()
-        self.clock.call_at(self.clock.now_us(), lambda: self.router.on_group_state(self.name, io.Load(), ok=up))
+        self.clock.call_at(self.clock.now_us(),
+                           lambda: self.router.on_group_state(self.name, io.Load(), ok=is_connected))
 
     def resume_calls(self) -> None:
-        """Ask for what became of the calls that stand."""
-        for call, held in self.router.calls_by_peer.get(self.name, {}).items():
-            if held.is_established:
-                self._tell(api.Resume(call))
+        """Request the state of the established calls, after a reconnect."""
+        for call_id, call in self.router.calls_by_peer.get(self.name, {}).items():
+            if call.is_established:
+                self._send_message(api.Resume(call_id))
 
-    def heard(self, message: api.Message) -> None:
-        """Tell the core what the destination said."""
+    def on_message(self, message: api.Message) -> None:
+        """Pass a message from the destination to the router."""
         self.counts["peer_" + api.NAMES[type(message)]] += 1
         match message:
             case api.Answer(call, description):
                 self.outstanding_set_ups.discard(call)
                 self.router.on_answered(self.name, call, description.encode())
             case api.Refused(call, _, reason):
-                self._over(call, io.Outcome.TURNED_AWAY, REASONS.get(reason, io.Cause.NONE))
+                self._end_attempt(call, io.Outcome.TURNED_AWAY, REASON_CAUSES.get(reason, io.Cause.NONE))
             case api.Failed(call, reason):
-                self._over(call, io.Outcome.NUMBER_FAULT, REASONS.get(reason, io.Cause.NONE))
+                self._end_attempt(call, io.Outcome.NUMBER_FAULT, REASON_CAUSES.get(reason, io.Cause.NONE))
             case api.Cancelled(call):
-                self._over(call, io.Outcome.CUT)
+                self._end_attempt(call, io.Outcome.CUT)
             case api.Released(call, cause):
-                self._over(call, io.Outcome.OK if cause == NORMAL_CLEARING else io.Outcome.CUT)
+                self._end_attempt(call, io.Outcome.OK if cause == NORMAL_CLEARING else io.Outcome.CUT)
             case api.Error(code, reason, call):
-                log.warning("destination sent an error", peer=self.name, code=code, reason=reason, call=call)
-                if call is not None:  # the call is not there, or never will be
-                    self._over(call, io.Outcome.CUT if code == "unknown-call" else io.Outcome.NUMBER_FAULT)
+                log.warning("error message from a destination", peer=self.name, code=code, reason=reason, call=call)
+                if call is not None:  # the destination does not know the call, or will never set it up
+                    self._end_attempt(call, io.Outcome.CUT if code == "unknown-call" else io.Outcome.NUMBER_FAULT)
             case api.State(free, size, hold_back):
                 self.router.on_group_state(self.name, io.Load(free=free, size=size, hold_back=hold_back))
 
-    def _over(self, call: str, outcome: io.Outcome, cause: io.Cause = io.Cause.NONE) -> None:
+    def _end_attempt(self, call: str, outcome: io.Outcome, cause: io.Cause = io.Cause.NONE) -> None:
         self.outstanding_set_ups.discard(call)
         self.router.on_ended(self.name, call, AttemptEnd(outcome, cause))
