--- a/tests/drivers.py
+++ b/tests/drivers.py
@@ -1,4 +1,4 @@
-"""The one helper of the tests of drivers: a transport and a clock of the test's own."""
+"""Fixtures for the tests of the Twisted drivers: a fake transport, a fake clock and the SIP front on them."""
 
 from __future__ import annotations
 
@@ -16,72 +16,72 @@
 from astertrack.wire import sip
 
 
-class Abortable(StringTransport):
-    """A transport that takes note of its abort."""
+class FakeTransport(StringTransport):
+    """A transport that records whether it was aborted."""
 
     aborted = False
 
     def abortConnection(self) -> None:
-        """Twisted's name for dropping a connection."""
+        """Called by the driver to abort the connection."""
         self.aborted = True
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Not a socket."""
+        """Does nothing: there is no socket."""
 
     @property
-    def ended(self) -> bool:
-        """Whether the program has ended the connection."""
+    def is_closed(self) -> bool:
+        """Return whether the driver has closed or aborted the connection."""
         return self.aborted or self.disconnecting
 
 
-class Seconds(ReactorClock):
-    """The reactor's clock taken for the Unix clock."""
+class FakeClock(ReactorClock):
+    """A clock that uses the reactor's time as the Unix time."""
 
     def now_us(self) -> int:
-        """Return the instant."""
+        """Return the current time."""
         return round(float(self.reactor.seconds()) * 1e6)
 
 
-class Callers:
-    """The SIP front on a clock of its own, before a router whose peers only take note."""
+class SipFrontFixture:
+    """The SIP front on a fake clock, with a router whose peers only record what they are sent."""
 
-    def __init__(self, most: int = 100) -> None:
+    def __init__(self, max_connections: int = 100) -> None:
         self.reactor, self.harness, self.counts = Clock(), RouterHarness(), Counter[str]()
-        self.front = CallerFront(self.harness.router, Seconds(self.reactor), {"ledger-read": 0}, self.counts,
-                                 most)
+        self.front = CallerFront(self.harness.router, FakeClock(self.reactor), {"ledger-read": 0}, self.counts,
+                                 max_connections)
 
     def connect(self) -> tuple[Any, Any]:
-        """A connection and its transport."""
-        connection, transport = cast(Any, self.front.buildProtocol(None)), cast(Any, Abortable)()
+        """Return a new connection and its transport."""
+        connection, transport = cast(Any, self.front.buildProtocol(None)), cast(Any, FakeTransport)()
         connection.makeConnection(transport)
         return connection, transport
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass, in steps as short as the front's own."""
+        """Advance the clock, in steps shorter than the intervals of the front's timers."""
         for _ in range(round(seconds * 20)):
             self.reactor.advance(0.05)
 
 
-def ended(connection: Any) -> None:
-    """The other end has closed."""
+def close_by_peer(connection: Any) -> None:
+    """Close a connection from its other end."""
     connection.connectionLost(cast(Any, Failure)(ConnectionDone()))
 
 
-def invite(call: str, number: str = "5", attrs: str = "dest:1;width:1;via:-1", wait_ms: str = "3000",
-           body: bytes = b"offer", tier: str = "ledger-read") -> bytes:
-    """A set-up."""
+def make_invite(call: str, number: str = "5", attrs: str = "dest:1;width:1;via:-1", wait_ms: str = "3000",
+                body: bytes = b"offer", tier: str = "ledger-read") -> bytes:
+    """Return a set-up."""
     return sip.encode(f"INVITE sip:{number}@net SIP/2.0", [
         ("Call-ID", call), ("CSeq", "1 INVITE"), ("X-Tier", tier), ("X-Deadline", wait_ms),
         ("X-Attrs", attrs)], body)
 
 
-def statuses(transport: Any, call: str) -> list[int]:
-    """The statuses of the answers to this set-up, or of all responses to no set-up."""
-    told = [m for m in sip.Stream().receive(transport.value()) if isinstance(m, sip.Message) and m.status]
-    return [m.status for m in told if m.headers.get("call-id", "") == call]
+def response_statuses(transport: Any, call: str) -> list[int]:
+    """Return the statuses of the responses to a set-up or, for an empty id, of those without a call id."""
+    responses = [m for m in sip.Stream().receive(transport.value()) if isinstance(m, sip.Message) and m.status]
+    return [m.status for m in responses if m.headers.get("call-id", "") == call]
 
 
-def releases(transport: Any) -> list[str]:
-    """The calls released here."""
+def released_calls(transport: Any) -> list[str]:
+    """Return the calls released on a connection."""
     return [m.headers["call-id"] for m in sip.Stream().receive(transport.value())
             if isinstance(m, sip.Message) and m.method == "BYE"]
--- a/tests/test_call_front.py
+++ b/tests/test_call_front.py
@@ -1,4 +1,4 @@
-"""Sockets of the WebSocket front on a clock of the test's own: signs of life, clients that do not read."""
+"""Sockets of the WebSocket front on a fake clock: pings, timeouts, repeated ids, clients that do not read."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any, cast
 
 import pytest
-from drivers import Abortable, Seconds
+from drivers import FakeClock, FakeTransport
 from test_router import RouterHarness
 from test_websocket_codec import SHAKE, frame
 from twisted.internet.task import Clock
@@ -16,9 +16,9 @@
 
 
 def connect() -> tuple[Clock, Session, Any]:
-    """One socket, shaken hands with."""
-    reactor, transport = Clock(), cast(Any, Abortable)()
-    front = CallFront(RouterHarness().router, Seconds(reactor), {"ledger-read": 0}, Counter(), "/calls")
+    """Return a socket after its handshake, with its clock and its transport."""
+    reactor, transport = Clock(), cast(Any, FakeTransport)()
+    front = CallFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
     session = cast(Any, front.buildProtocol(None))
     session.makeConnection(transport)
     session.dataReceived(SHAKE)
@@ -27,46 +27,46 @@
 
 
 def pass_time(reactor: Clock, seconds: int) -> None:
-    """Let time pass, in steps as short as the front's own."""
+    """Advance the clock, in steps shorter than the intervals of the front's timers."""
     for _ in range(seconds * 20):
         reactor.advance(0.05)
 
 
-def test_a_silent_socket_is_pinged_and_one_without_a_sign_of_life_given_up() -> None:
+def test_an_idle_socket_is_pinged_and_an_unresponsive_one_is_closed() -> None:
     reactor, session, transport = connect()
     pass_time(reactor, 25)
     assert transport.value() == frame(0x89, b"", masked=False)
-    session.dataReceived(frame(0x8A, b""))  # a pong: alive
+    session.dataReceived(frame(0x8A, b""))  # a pong
     pass_time(reactor, 59)
     assert not transport.aborted
     pass_time(reactor, 2)
     assert transport.aborted
 
 
-@pytest.mark.parametrize("begun", [b"", SHAKE[:30], SHAKE + b"\x81", SHAKE + frame(0x01, b"{", masked=True)])
-def test_a_socket_that_stays_half_sent_is_closed_in_time(begun: bytes) -> None:
-    reactor, transport = Clock(), cast(Any, Abortable)()
-    front = CallFront(RouterHarness().router, Seconds(reactor), {"ledger-read": 0}, Counter(), "/calls")
+@pytest.mark.parametrize("received", [b"", SHAKE[:30], SHAKE + b"\x81", SHAKE + frame(0x01, b"{", masked=True)])
+def test_a_socket_with_an_incomplete_handshake_or_message_is_closed_in_time(received: bytes) -> None:
+    reactor, transport = Clock(), cast(Any, FakeTransport)()
+    front = CallFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
     session = cast(Any, front.buildProtocol(None))
     session.makeConnection(transport)
-    if begun:
-        session.dataReceived(begun)
+    if received:
+        session.dataReceived(received)
     pass_time(reactor, 2)
     assert not transport.aborted
     pass_time(reactor, 1)
     assert transport.aborted
 
 
-def test_the_id_of_an_open_call_with_other_fields_harms_neither_call_nor_client() -> None:
+def test_a_set_up_with_the_id_of_an_open_call_and_other_fields_does_not_affect_it() -> None:
     _, session, _ = connect()
     front = session.front
     now_ms = session.front.router.now_us() // 1000
-    asked = api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000)
-    front.on_request(session, asked)
+    set_up = api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000)
+    front.on_request(session, set_up)
     with pytest.raises(api.BadMessage):
         front.on_request(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000, description="other"))
-    front.on_request(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000))  # the same again
-    assert front.calls["1" * 16].set_up is asked
+    front.on_request(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000))  # a repeat
+    assert front.calls["1" * 16].set_up is set_up
     assert front.counts["ws_set_ups"] == 1
 
 
@@ -85,7 +85,7 @@
     assert transport.aborted
 
 
-def test_the_end_of_a_call_is_remembered_and_then_forgotten() -> None:
+def test_the_end_of_a_call_is_kept_for_the_retention_period() -> None:
     reactor, session, _ = connect()
     front = session.front
     front.on_request(session, api.SetUp("0" * 16, "ledger-read", "5", 9, 0))  # its deadline has passed
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Timers on a reactor's clock."""
+"""Timers of the reactor clock."""
 
 from __future__ import annotations
 
@@ -12,47 +12,47 @@
 from astertrack.net.clock import ReactorClock, ScheduledCall
 
 
-class Held:
-    """A call that holds its timer, as its timer holds it."""
+class TimerOwner:
+    """An object that refers to its timer, as the timer refers to it."""
 
     timer: ScheduledCall | None = None
 
-    def due(self) -> None:
-        """Nothing is done."""
+    def on_due(self) -> None:
+        """Does nothing."""
 
 
-class Steady(ReactorClock):
-    """A Unix clock that runs with the reactor's, but a little behind."""
+class LaggingClock(ReactorClock):
+    """A Unix clock that runs as fast as the reactor's, but may lag behind it."""
 
-    behind_us = 0
+    lag_us = 0
 
     def now_us(self) -> int:
-        """Return the instant."""
-        return int(self.reactor.seconds() * 1e6) - self.behind_us
+        """Return the current time."""
+        return int(self.reactor.seconds() * 1e6) - self.lag_us
 
 
 @pytest.mark.parametrize("end", [lambda clock, timer: clock.advance(2), lambda clock, timer: timer.cancel()])
-def test_a_timer_that_is_over_leaves_nothing_to_the_garbage_collector(
+def test_a_timer_that_fired_or_was_cancelled_leaves_nothing_to_the_garbage_collector(
         end: Callable[[Clock, ScheduledCall], None]) -> None:
     reactor = Clock()
-    clock, held = Steady(reactor), Held()
+    clock, owner = LaggingClock(reactor), TimerOwner()
     gc.disable()
     try:
-        held.timer = clock.call_at(clock.now_us() + 1_000_000, held.due)
-        end(reactor, held.timer)
-        gone, timer = weakref.ref(held), weakref.ref(held.timer)
-        del held
-        assert gone() is None
-        assert timer() is None
+        owner.timer = clock.call_at(clock.now_us() + 1_000_000, owner.on_due)
+        end(reactor, owner.timer)
+        owner_ref, timer_ref = weakref.ref(owner), weakref.ref(owner.timer)
+        del owner
+        assert owner_ref() is None
+        assert timer_ref() is None
     finally:
         gc.enable()
 
 
 def test_a_timer_never_fires_before_its_instant() -> None:
     reactor, fired = Clock(), list[int]()
-    clock = Steady(reactor)
+    clock = LaggingClock(reactor)
     clock.call_at(1_000_000, lambda: fired.append(clock.now_us()))
-    clock.behind_us = 300  # the Unix clock was set back
+    clock.lag_us = 300  # the Unix clock was set back
     reactor.advance(1.0)
     assert fired == []
     reactor.advance(0.001)
