--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Configuration in versions, through the started program: a stand-in control service, nodes and callers."""
+"""Versions of the routing plan, tested on the started program with a stand-in control service, nodes and callers."""
 
 from __future__ import annotations
 
@@ -17,37 +17,37 @@
 from laboratory.control_service import ControlService, endless, events, wrong
 from laboratory.stand_ins import ApiCaller, BinaryNode, CutNode, SipCaller, free_port, program, until
 
-IDS = itertools.count(0xC000)
+CALL_NUMBERS = itertools.count(0xC000)
 EXCHANGES = [Exchange(n, "fes") for n in (1, 2, 3)]
 
 
-def fresh() -> str:
-    """An id that no call has had."""
-    return f"{next(IDS):016x}"
+def new_call_id() -> str:
+    """Return an unused call id."""
+    return f"{next(CALL_NUMBERS):016x}"
 
 
 def run(work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test's body."""
+    """Run the coroutine of a test."""
     asyncio.run(work())
 
 
-def plan(*records: Any) -> Plan:
-    """A plan of these and the exchanges."""
+def make_plan(*records: Any) -> Plan:
+    """Return a plan with the exchanges and these records."""
     return build(iter([*EXCHANGES, *records]))
 
 
-def settings(service: ControlService | None = None, store: str = "", seconds: float = 0, file: str = "",
+def make_settings(service: ControlService | None = None, store: str = "", seconds: float = 0, file: str = "",
              address: str = "") -> str:
-    """The text of versions.toml."""
+    """Return the text of versions.toml."""
     where = service.address if service is not None else address
     return (f'[service]\naddress = "{where}"\n[store]\nfolder = "{store}"\n[plan]\nfile = "{file}"\n'
             f"[probation]\nseconds = {seconds}\n")
 
 
-async def placed(caller: SipCaller, number: str, dest: int = -1, wait_ms: int = 2000,
+async def place_call(caller: SipCaller, number: str, dest: int = -1, wait_ms: int = 2000,
                  tier: str = "ledger-read") -> tuple[str, Any]:
     """Place a call by SIP and wait for its final answer."""
-    call = fresh()
+    call = new_call_id()
     caller.invite(call, number, dest, wait_ms, tier)
     await until(lambda: call in caller.finals)
     return call, caller.finals[call][0]
@@ -57,28 +57,28 @@
     async def work() -> None:
         service = await ControlService().start()
         nodes = {n: await BinaryNode().start() for n in (1, 2, 3)}
-        service.publish(VersionId(1, 1), plan(Prefix("5", 1), Prefix("55", 2), Barred("9", 700),
+        service.publish(VersionId(1, 1), make_plan(Prefix("5", 1), Prefix("55", 2), Barred("9", 700),
                                               Choice(3, direct=False, over=[[2]], any_tandem=False),
                                               Prefix("7", 3), Told("unmatched", 300)))
-        async with program(nodes, versions=settings(service)) as router:  # type: ignore[arg-type]
+        async with program(nodes, versions=make_settings(service)) as router:  # type: ignore[arg-type]
             await until(lambda: "in-force" in service.stands(VersionId(1, 1)))
             sip, api = await SipCaller.connect(router.port), await ApiCaller.connect(router.api_port)
             for number, node in (("51", 1), ("551", 2), ("71", 2)):
-                call, answer = await placed(sip, number, dest=3)
+                call, answer = await place_call(sip, number, dest=3)
                 assert answer.status == 200
-                assert [n for n, at in nodes.items() if at.seen[call]] == [node]
-                other = fresh()
+                assert [n for n, stand_in in nodes.items() if stand_in.seen[call]] == [node]
+                other = new_call_id()
                 api.send(type="setup", id=other, number=number, deadline=2**50, **{"class": "ledger-read"})
                 await until(lambda other=other: api.finals(other))
                 assert api.finals(other)[0]["type"] == "answer"
-                assert [n for n, at in nodes.items() if at.seen[other]] == [node]
-            _, refused = await placed(sip, "91")
+                assert [n for n, stand_in in nodes.items() if stand_in.seen[other]] == [node]
+            _, refused = await place_call(sip, "91")
             assert refused.status == 503
             assert 700 <= int(refused.headers["x-cooldown"]) <= 900
-            _, unmatched = await placed(sip, "11")
+            _, unmatched = await place_call(sip, "11")
             assert unmatched.status == 503
             assert 300 <= int(unmatched.headers["x-cooldown"]) <= 400
-            assert (await placed(sip, "11", dest=1))[1].status == 200
+            assert (await place_call(sip, "11", dest=1))[1].status == 200
             counts = await router.counts()
             assert counts["refused_at_gate"] == 2
             assert counts["gate_refused_plan_barred"] == 1
@@ -86,12 +86,12 @@
     run(work)
 
 
-def test_broken_and_reordered_versions_are_refused_and_the_last_good_one_serves() -> None:
+def test_invalid_and_reordered_versions_are_refused_and_the_last_valid_one_serves() -> None:
     async def work() -> None:
         service = await ControlService().start()
         nodes = {n: await BinaryNode().start() for n in (1, 2)}
-        service.publish(VersionId(1, 1), plan(Prefix("5", 1)))
-        async with program(nodes, versions=settings(service)) as router:  # type: ignore[arg-type]
+        service.publish(VersionId(1, 1), make_plan(Prefix("5", 1)))
+        async with program(nodes, versions=make_settings(service)) as router:  # type: ignore[arg-type]
             await until(lambda: "in-force" in service.stands(VersionId(1, 1)))
             sip = await SipCaller.connect(router.port)
             for number, lines in ((2, [b"{"]), (3, [b'{"kind":"prefix","digits":"5","exchange":9}']),
@@ -103,37 +103,37 @@
                 await until(lambda number=number: service.stands(VersionId(1, number)) == ["refused"])
             assert [service.reasons(VersionId(1, n)) for n in (2, 3, 4, 5)] == [
                 ["schema"], ["unknown-exchange"], ["route-through-itself"], ["alias-loop"]]
-            later, sooner = plan(Prefix("5", 2)), plan(Prefix("5", 1))
+            later, sooner = make_plan(Prefix("5", 2)), make_plan(Prefix("5", 1))
             service.send(make_document(VersionId(1, 7), later.records(), later.state))
             service.send(make_document(VersionId(1, 6), sooner.records(), sooner.state))
             await until(lambda: service.stands(VersionId(1, 6)) == ["refused"])
             assert service.reasons(VersionId(1, 6)) == ["stale"]
             service.send(make_document(VersionId(1, 7), sooner.records(), sooner.state))
             await until(lambda: "two-contents" in service.reasons(VersionId(1, 7)))
-            call, answer = await placed(sip, "51")
+            call, answer = await place_call(sip, "51")
             assert answer.status == 200
             assert nodes[2].seen[call]
             service.send(make_document(VersionId(2, 1), sooner.records(), sooner.state))
             await until(lambda: "in-force" in service.stands(VersionId(2, 1)))
-            call, _ = await placed(sip, "51")
+            call, _ = await place_call(sip, "51")
             assert nodes[1].seen[call]
             assert router.process.returncode is None
         await service.stop()
     run(work)
 
 
-def test_a_version_cut_in_a_multi_byte_character_or_anywhere_else_is_dropped_and_asked_for_again() -> None:
+def test_a_version_truncated_in_a_character_or_anywhere_else_is_dropped_and_requested_again() -> None:
     async def work() -> None:
         service = await ControlService(offers=False).start()
         node = await BinaryNode().start()
         made = build(iter([Exchange(1, "fès-médina"), Prefix("5", 1)]))
         sent = make_document(VersionId(1, 1), made.records(), made.state)
-        whole = events(sent)
-        middle = whole.index("è".encode()) + 1
-        async with program({1: node}, versions=settings(service)) as router:
-            for at, cut in enumerate((middle, len(whole) // 3, len(whole) - 3)):
-                await until(lambda at=at: len(service.streams) == at + 1 and not service.streams[-1].closed)
-                service.send_raw(whole[:cut])
+        data = events(sent)
+        in_character = data.index("è".encode()) + 1
+        async with program({1: node}, versions=make_settings(service)) as router:
+            for index, length in enumerate((in_character, len(data) // 3, len(data) - 3)):
+                await until(lambda index=index: len(service.streams) == index + 1 and not service.streams[-1].closed)
+                service.send_raw(data[:length])
                 await asyncio.sleep(0.05)
                 service.cut()
             await until(lambda: len(service.streams) == 4)
@@ -141,16 +141,16 @@
             service.send(sent)
             await until(lambda: "in-force" in service.stands(VersionId(1, 1)))
             counts = await router.counts()
-            assert counts["versions_half_received"] == 2  # the other one was cut in its head
+            assert counts["versions_half_received"] == 2  # the third was truncated within its header
         await service.stop()
     run(work)
 
 
-def test_a_silent_stream_is_given_up_and_an_endless_or_unreadable_one_ends_nothing_else() -> None:
+def test_an_unresponsive_stream_is_dropped_and_an_endless_or_malformed_one_affects_nothing_else() -> None:
     async def work() -> None:
         service = await ControlService(offers=False).start()
         node = await BinaryNode().start()
-        async with program({1: node}, versions=settings(service)) as router:
+        async with program({1: node}, versions=make_settings(service)) as router:
             sip = await SipCaller.connect(router.port)
             await until(lambda: len(service.open) == 1)
             service.send_raw(b"data: \xff\n\n")
@@ -159,12 +159,12 @@
                 service.send_raw(data)
             service.send_raw(sse.encode("end", (b"{}",)))
             await until(lambda: service.reasons(VersionId(1, 1)) == ["length"])
-            assert (await placed(sip, "good-1", dest=1))[1].status == 200
-            await until(lambda: len(service.open) == 1)  # it dialled again, and asked for a whole one
+            assert (await place_call(sip, "good-1", dest=1))[1].status == 200
+            await until(lambda: len(service.open) == 1)  # it has redialled and requested a full version
             assert service.streams[-1].asked.full
             service.comments = False
-            before = len(service.streams)
-            await until(lambda: len(service.streams) > before)
+            stream_count = len(service.streams)
+            await until(lambda: len(service.streams) > stream_count)
             counts = await router.counts()
             assert counts["control_silent"] >= 1
             assert counts["control_malformed"] >= 1
@@ -172,13 +172,13 @@
     run(work)
 
 
-def test_reports_are_repeated_until_heard_and_harmless_when_heard_twice() -> None:
+def test_reports_are_repeated_until_confirmed_and_harmless_when_received_twice() -> None:
     async def work() -> None:
         service = await ControlService(answers="mute").start()
         node = await BinaryNode().start()
-        service.publish(VersionId(1, 1), plan(Prefix("5", 1)))
-        async with program({1: node}, versions=settings(service)):
-            await until(lambda: service.ledger.repeated >= 3)  # heard, but the router was not told so
+        service.publish(VersionId(1, 1), make_plan(Prefix("5", 1)))
+        async with program({1: node}, versions=make_settings(service)):
+            await until(lambda: service.ledger.repeated >= 3)  # received, but not confirmed to the router
             service.answers = "deaf"
             messages = service.messages
             await until(lambda: service.messages > messages)
@@ -191,25 +191,25 @@
     run(work)
 
 
-def test_a_call_keeps_the_version_of_its_first_moment_for_its_record_and_all_its_attempts(tmp_path: Path) -> None:
+def test_a_call_keeps_the_version_of_its_set_up_for_its_record_and_all_its_attempts(tmp_path: Path) -> None:
     async def work() -> None:
         service = await ControlService().start()
         nodes = {n: await BinaryNode().start() for n in (1, 2)}
         database = tmp_path / "calls.db"
-        service.publish(VersionId(1, 1), plan(Prefix("5", 1)))
+        service.publish(VersionId(1, 1), make_plan(Prefix("5", 1)))
         store = f'[store]\nkind = "sqlite"\ndatabase = "{database}"'
-        async with program(nodes, gateway=store, versions=settings(service)) as router:  # type: ignore[arg-type]
+        async with program(nodes, gateway=store, versions=make_settings(service)) as router:  # type: ignore[arg-type]
             await until(lambda: "in-force" in service.stands(VersionId(1, 1)))
             api = await ApiCaller.connect(router.api_port)
-            for word in ("silent", "long"):  # the nodes read the number; the plan leaves it to the caller's dest
-                api.set_up(fresh(), f"{word}-1", 1, 2500)
-            calls = list(itertools.islice((f"{n:016x}" for n in itertools.count(next(IDS) - 2)), 2))
+            for word in ("silent", "long"):  # the number sets the node's behaviour; the plan keeps the caller's dest
+                api.set_up(new_call_id(), f"{word}-1", 1, 2500)
+            calls = list(itertools.islice((f"{n:016x}" for n in itertools.count(next(CALL_NUMBERS) - 2)), 2))
             await until(lambda: nodes[1].seen[calls[0]] and api.finals(calls[1]))
-            # Version 2 takes out exchange 1, at which one call stands and one waits for its answer.
-            gone = build(iter([Exchange(2), Prefix("5", 2), Unmatched(True)]))
-            service.publish(VersionId(1, 2), gone)
+            # Version 2 removes exchange 1, at which one call is established and one waits for its answer.
+            smaller = build(iter([Exchange(2), Prefix("5", 2), Unmatched(True)]))
+            service.publish(VersionId(1, 2), smaller)
             await until(lambda: "in-force" in service.stands(VersionId(1, 2)))
-            api.set_up(third := fresh(), "good-1", 1, 2500)
+            api.set_up(third := new_call_id(), "good-1", 1, 2500)
             await until(lambda: api.finals(third))
             assert api.finals(third)[0]["type"] == "refused"
             await until(lambda: api.finals(calls[0]))
@@ -225,25 +225,25 @@
     run(work)
 
 
-def test_the_last_good_version_serves_at_a_start_while_the_service_is_away(tmp_path: Path) -> None:
+def test_the_last_valid_version_serves_after_a_restart_without_the_service(tmp_path: Path) -> None:
     async def work() -> None:
         service = await ControlService().start()
         nodes = {n: await BinaryNode().start() for n in (1, 2)}
-        service.publish(VersionId(1, 1), plan(Prefix("5", 1)))
-        async with program(nodes, versions=settings(service, str(tmp_path))) as router:  # type: ignore[arg-type]
+        service.publish(VersionId(1, 1), make_plan(Prefix("5", 1)))
+        async with program(nodes, versions=make_settings(service, str(tmp_path))) as router:  # type: ignore[arg-type]
             await until(lambda: "settled" in service.stands(VersionId(1, 1)))
-            service.publish(VersionId(1, 2), plan(Prefix("5", 2)))
+            service.publish(VersionId(1, 2), make_plan(Prefix("5", 2)))
             await until(lambda: "settled" in service.stands(VersionId(1, 2)))
             await until(lambda: b'"number":2' in (tmp_path / "current").read_bytes())
-            router.process.kill()  # no word of farewell
+            router.process.kill()  # without a shutdown
             await router.process.wait()
         address = service.address
         await service.stop()
         nodes = {n: await BinaryNode().start() for n in (1, 2)}
-        text = settings(store=str(tmp_path), address=address)
+        text = make_settings(store=str(tmp_path), address=address)
         async with program(nodes, versions=text) as router:  # type: ignore[arg-type]
             sip = await SipCaller.connect(router.port)
-            call, answer = await placed(sip, "51")
+            call, answer = await place_call(sip, "51")
             assert answer.status == 200
             assert nodes[2].seen[call]
             counts = await router.counts()
@@ -252,13 +252,13 @@
     run(work)
 
 
-def test_a_service_that_never_answers_and_no_store_leave_calls_as_they_are_without_a_plan() -> None:
+def test_without_a_service_and_a_store_calls_are_routed_as_without_a_plan() -> None:
     async def work() -> None:
         node = await BinaryNode().start()
-        async with program({1: node}, versions=settings(address=f"127.0.0.1:{free_port()}")) as router:
+        async with program({1: node}, versions=make_settings(address=f"127.0.0.1:{free_port()}")) as router:
             sip = await SipCaller.connect(router.port)
-            assert (await placed(sip, "good-1", dest=1))[1].status == 200
-            _, answer = await placed(sip, "good-1")  # nobody says where it should go
+            assert (await place_call(sip, "good-1", dest=1))[1].status == 200
+            _, answer = await place_call(sip, "good-1")  # neither the caller nor a plan gives a destination
             assert answer.status == 503
             assert int(answer.headers["x-cooldown"]) == 2000
             await router.counts()
@@ -269,26 +269,26 @@
     async def work() -> None:
         service = await ControlService().start()
         nodes = {n: await BinaryNode().start() for n in (1, 2)}
-        service.publish(VersionId(1, 1), plan())
-        async with program(nodes, versions=settings(service, seconds=2.0)) as router:  # type: ignore[arg-type]
+        service.publish(VersionId(1, 1), make_plan())
+        async with program(nodes, versions=make_settings(service, seconds=2.0)) as router:  # type: ignore[arg-type]
             await until(lambda: "in-force" in service.stands(VersionId(1, 1)))
             sip = await SipCaller.connect(router.port)
             stop = False
 
             async def offer() -> None:
-                for at in itertools.count():  # each to a number of its own: further calls to one count as redials
+                for index in itertools.count():  # each to a different number: repeated calls to one count as redials
                     if stop:
                         return
-                    sip.invite(fresh(), f"good-{at}", 1)
-                    sip.invite(fresh(), f"fine-{at}", 2)
+                    sip.invite(new_call_id(), f"good-{index}", 1)
+                    sip.invite(new_call_id(), f"fine-{index}", 2)
                     await asyncio.sleep(0.02)
             task = asyncio.get_running_loop().create_task(offer())
             await asyncio.sleep(1.5)
             # Calls to exchange 1 may not go direct, and there is no tandem left: they are refused.
-            service.publish(VersionId(1, 2), plan(Choice(1, direct=False, over=[[3]], any_tandem=False)))
+            service.publish(VersionId(1, 2), make_plan(Choice(1, direct=False, over=[[3]], any_tandem=False)))
             await until(lambda: "rolled-back" in service.stands(VersionId(1, 2)))
             assert service.reasons(VersionId(1, 2)) == ["probation"]
-            call, answer = await placed(sip, "good-last", dest=1)
+            call, answer = await place_call(sip, "good-last", dest=1)
             assert answer.status == 200
             assert nodes[1].seen[call]
             stop = True
@@ -297,61 +297,61 @@
     run(work)
 
 
-def test_a_version_that_arrives_during_a_site_cut_is_accepted_and_not_blamed_for_it() -> None:
+def test_a_version_that_arrives_while_a_site_is_cut_off_is_accepted_and_not_blamed_for_it() -> None:
     async def work() -> None:
         service = await ControlService().start()
         near, far = await BinaryNode().start(), await CutNode().start()
         near_zone = [Exchange(1, "casablanca"), Exchange(2, "fes")]
         service.publish(VersionId(1, 1), build(iter(near_zone)))
-        async with program({1: near, 2: far}, versions=settings(service, seconds=2.0)) as router:
+        async with program({1: near, 2: far}, versions=make_settings(service, seconds=2.0)) as router:
             await until(lambda: "in-force" in service.stands(VersionId(1, 1)))
             sip, stop = await SipCaller.connect(router.port), False
-            asked: dict[str, tuple[int, float]] = {}
+            placed_calls: dict[str, tuple[int, float]] = {}
             loop = asyncio.get_running_loop()
 
             async def offer() -> None:
-                for at in itertools.count():
+                for index in itertools.count():
                     if stop:
                         return
-                    call = fresh()
-                    asked[call] = (at % 2 + 1, loop.time())
-                    sip.invite(call, f"good-{at}", at % 2 + 1, 1500)
+                    call = new_call_id()
+                    placed_calls[call] = (index % 2 + 1, loop.time())
+                    sip.invite(call, f"good-{index}", index % 2 + 1, 1500)
                     await asyncio.sleep(0.01)
             task = loop.create_task(offer())
             await asyncio.sleep(1.5)
             far.cut = True
             await asyncio.sleep(0.5)
-            # It touches every call to the cut site, and no other: over exchange 1 if not direct.
+            # It concerns every call to the cut-off site and no other: over exchange 1 if not direct.
             service.publish(VersionId(1, 2), build(iter([*near_zone, Choice(2, over=[[1]])])))
             await until(lambda: "settled" in service.stands(VersionId(1, 2)))
             far.cut = False
             call = ""
             for _ in range(40):
-                call, answer = await placed(sip, f"good-back-{call}", dest=2, wait_ms=1500)
+                call, answer = await place_call(sip, f"good-back-{call}", dest=2, wait_ms=1500)
                 if answer.status == 200:
                     break
             assert answer.status == 200
             stop = True
             await task
-            await until(lambda: all(c in sip.finals for c in asked))
-            assert {len(sip.finals[c]) for c in asked} == {1}
+            await until(lambda: all(c in sip.finals for c in placed_calls))
+            assert {len(sip.finals[c]) for c in placed_calls} == {1}
             assert "rolled-back" not in service.stands(VersionId(1, 2))
             assert near.overlaps + far.overlaps == 0
-            during = [c for c, (dest, _) in asked.items() if dest == 1]
-            assert sum(sip.finals[c][0].status == 200 for c in during) > 0.9 * len(during)
+            near_calls = [c for c, (dest, _) in placed_calls.items() if dest == 1]
+            assert sum(sip.finals[c][0].status == 200 for c in near_calls) > 0.9 * len(near_calls)
         await service.stop()
     run(work)
 
 
-def test_a_limit_holds_and_frees_when_calls_end() -> None:
+def test_a_limit_is_enforced_and_has_room_again_when_calls_end() -> None:
     async def work() -> None:
         service = await ControlService().start()
         node = await BinaryNode().start()
-        service.publish(VersionId(1, 1), plan(Limit("two", 1, in_hand=2, wait_ms=150)))
-        async with program({1: node}, versions=settings(service)) as router:
+        service.publish(VersionId(1, 1), make_plan(Limit("two", 1, in_hand=2, wait_ms=150)))
+        async with program({1: node}, versions=make_settings(service)) as router:
             await until(lambda: "in-force" in service.stands(VersionId(1, 1)))
             api = await ApiCaller.connect(router.api_port)
-            calls = [fresh() for _ in range(3)]
+            calls = [new_call_id() for _ in range(3)]
             for call in calls:
                 api.set_up(call, "long-1", 1)
             await until(lambda: all(api.finals(c) for c in calls))
@@ -360,7 +360,7 @@
             assert 150 <= api.finals(calls[2])[0]["cooldown"] <= 190
             api.send(type="release", id=calls[0])
             await until(lambda: api.told(calls[0], "released"))
-            api.set_up(again := fresh(), "long-1", 1)
+            api.set_up(again := new_call_id(), "long-1", 1)
             await until(lambda: api.finals(again))
             assert api.finals(again)[0]["type"] == "answer"
             assert node.overlaps == 0
@@ -374,9 +374,9 @@
         path = tmp_path / "plan.toml"
         text = "[version]\nnumber = {}\n[[exchange]]\nnumber = {}\n[[prefix]]\ndigits = \"5\"\nexchange = {}\n"
         path.write_text(text.format(1, 1, 1))
-        async with program(nodes, versions=settings(file=str(path))) as router:  # type: ignore[arg-type]
+        async with program(nodes, versions=make_settings(file=str(path))) as router:  # type: ignore[arg-type]
             sip = await SipCaller.connect(router.port)
-            call, _ = await placed(sip, "51")
+            call, _ = await place_call(sip, "51")
             assert nodes[1].seen[call]
             path.write_text(text.format(2, 1, 2))  # names an exchange that is not listed: refused
             router.process.send_signal(signal.SIGHUP)
@@ -385,27 +385,27 @@
             path.write_text(text.format(2, 2, 2))
             router.process.send_signal(signal.SIGHUP)
             await router.logged("version=1.2")
-            call, _ = await placed(sip, "51")
+            call, _ = await place_call(sip, "51")
             assert nodes[2].seen[call]
     run(work)
 
 
-def test_two_hundred_versions_in_a_second_hold_up_no_call_of_either_front() -> None:
+def test_two_hundred_versions_in_a_second_delay_no_call_of_either_front() -> None:
     async def work() -> None:
         service = await ControlService().start()
         nodes = {n: await BinaryNode().start() for n in (1, 2)}
-        plans = [plan(*(Prefix(f"{d}{at % 10}", 1 + (at + d) % 2) for d in range(40, 60))) for at in range(201)]
+        plans = [make_plan(*(Prefix(f"{d}{n % 10}", 1 + (n + d) % 2) for d in range(40, 60))) for n in range(201)]
         service.publish(VersionId(1, 1), plans[0])
-        async with program(nodes, versions=settings(service)) as router:  # type: ignore[arg-type]
+        async with program(nodes, versions=make_settings(service)) as router:  # type: ignore[arg-type]
             await until(lambda: "in-force" in service.stands(VersionId(1, 1)))
             sip, api = await SipCaller.connect(router.port), await ApiCaller.connect(router.api_port)
-            by_sip, by_api = [fresh() for _ in range(100)], [fresh() for _ in range(100)]
-            for at in range(200):
-                service.publish(VersionId(1, at + 2), plans[at + 1])
-                if at % 2:
-                    sip.invite(by_sip[at // 2], f"{40 + at % 20}1", 1)
+            by_sip, by_api = [new_call_id() for _ in range(100)], [new_call_id() for _ in range(100)]
+            for index in range(200):
+                service.publish(VersionId(1, index + 2), plans[index + 1])
+                if index % 2:
+                    sip.invite(by_sip[index // 2], f"{40 + index % 20}1", 1)
                 else:
-                    api.set_up(by_api[at // 2], f"{40 + at % 20}1", 1)
+                    api.set_up(by_api[index // 2], f"{40 + index % 20}1", 1)
                 await asyncio.sleep(0.005)
             await until(lambda: all(c in sip.finals for c in by_sip) and all(api.finals(c) for c in by_api))
             await until(lambda: "in-force" in service.stands(VersionId(1, 201)))
