--- a/astertrack/gossip/__init__.py
+++ b/astertrack/gossip/__init__.py
@@ -9,6 +9,7 @@
 """
 
 from astertrack.gossip.membership import Membership
-from astertrack.gossip.model import Alive, Leave, Message, Rules, Sealer, State, Suspect, Testimony
+from astertrack.gossip.model import Alive, ClaimSigner, GossipSettings, Leave, Message, ServerReport, State, Suspect
 
-__all__ = ["Alive", "Leave", "Membership", "Message", "Rules", "Sealer", "State", "Suspect", "Testimony"]
+__all__ = ["Alive", "ClaimSigner", "GossipSettings", "Leave", "Membership", "Message", "ServerReport", "State",
+           "Suspect"]
--- a/astertrack/gossip/codec.py
+++ b/astertrack/gossip/codec.py
@@ -18,7 +18,7 @@
 from cryptography.exceptions import InvalidSignature
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
 
-from astertrack.gossip.model import RELEASE, Message, Name, Number, Signature
+from astertrack.gossip.model import PROTOCOL_VERSION, Message, Name, Signature, UnsignedInt
 from astertrack.gossip.replay import SKEW_US, Heard, Replays
 
 DOMAIN = b"astertrack gossip 1\0"  # so that no signature made for something else fits
@@ -116,11 +116,11 @@
 
 
 class _Envelope(msgspec.Struct, frozen=True, array_like=True):
-    release: Number
+    release: UnsignedInt
     sender: Name
-    epoch: Number  # milliseconds of the sender's clock when it started
-    number: Number
-    at_ms: Number
+    epoch: UnsignedInt  # milliseconds of the sender's clock when it started
+    number: UnsignedInt
+    at_ms: UnsignedInt
     body: Annotated[bytes, msgspec.Meta(max_length=256 * 1024)]
     signature: Signature
 
@@ -130,9 +130,9 @@
 _messages: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
-def bound_bytes(bound: tuple[object, ...]) -> bytes:
+def signed_bytes(signed_fields: tuple[object, ...]) -> bytes:
     """Return the octets that a claim's signature is over."""
-    return DOMAIN + _encoder.encode(bound)
+    return DOMAIN + _encoder.encode(signed_fields)
 
 
 class Budget:
@@ -192,13 +192,13 @@
 
     # ---- claims
 
-    def sign(self, bound: tuple[object, ...]) -> bytes:
+    def sign(self, signed_fields: tuple[object, ...]) -> bytes:
         """Return this instance's signature of a claim."""
-        return self.key.sign(bound_bytes(bound))
+        return self.key.sign(signed_bytes(signed_fields))
 
-    def verify(self, signer: str, bound: tuple[object, ...], signature: bytes) -> bool:
+    def verify(self, signer: str, signed_fields: tuple[object, ...], signature: bytes) -> bool:
         """Whether the signer signed a claim with a key that is valid now."""
-        data, now = bound_bytes(bound), self.now_us()
+        data, now = signed_bytes(signed_fields), self.now_us()
         if (signer, data, signature) in self._checked and any(True for _ in self.ring.valid(signer, now)):
             return True
         if not self._budget.take(signer if signer in self.ring.keys else None, now):
@@ -223,7 +223,7 @@
         self._number += 1
         body = _encoder.encode(message)
         at_ms = self.now_us() // 1000
-        head = (RELEASE, self.name, self.epoch, self._number, at_ms, body)
+        head = (PROTOCOL_VERSION, self.name, self.epoch, self._number, at_ms, body)
         return _encoder.encode((*head, self.key.sign(DOMAIN + _encoder.encode(head))))
 
     def open(self, data: bytes, known: bool, most: int) -> Opened | Turned:
@@ -248,7 +248,7 @@
             envelope = _envelopes.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError):
             return Turned("malformed")
-        if envelope.release != RELEASE:
+        if envelope.release != PROTOCOL_VERSION:
             return Turned("other release")
         now = self.now_us()
         if envelope.sender == self.name or not any(True for _ in self.ring.valid(envelope.sender, now)):
--- a/astertrack/gossip/membership.py
+++ b/astertrack/gossip/membership.py
@@ -28,22 +28,22 @@
     Ack,
     Action,
     Alive,
-    Changed,
     Claim,
-    Exchange,
+    ClaimSigner,
+    GossipSettings,
     Leave,
+    MemberChanged,
     Message,
     Nack,
+    OpenStream,
     Ping,
     PingReq,
-    Rules,
-    Sealer,
     Send,
+    ServerReport,
     State,
     Suspect,
     Sync,
-    Testimony,
-    signed,
+    sign_claim,
 )
 from astertrack.gossip.trust import Trust
 
@@ -100,10 +100,10 @@
 class Membership:
     """One instance's view of all others. Every method is told the instant; take() says what is to be done."""
 
-    def __init__(self, me: Alive, seeds: Iterable[str], rules: Rules, source: random.Random, sealer: Sealer,
-                 now_us: int) -> None:
-        self.rules, self._random, self._sealer = rules, source, sealer
-        self.me = signed(me, sealer)
+    def __init__(self, me: Alive, seeds: Iterable[str], settings: GossipSettings, source: random.Random,
+                 claim_signer: ClaimSigner, now_us: int) -> None:
+        self.settings, self._random, self._claim_signer = settings, source, claim_signer
+        self.me = sign_claim(me, claim_signer)
         self.seeds = [seed for seed in seeds if seed != me.address]
         self.members: dict[str, Member] = {}
         # Kept beside it, for each message asks: who is there, who is gone, and the sum over those who are there.
@@ -115,7 +115,7 @@
         self.health = 0  # Lifeguard's local health multiplier: 0 is sound
         self.leaving = False
         self.counts: Counter[str] = Counter()
-        self.testimonies: list[Testimony] = []  # heard and verified, for who judges servers
+        self.server_reports: list[ServerReport] = []  # heard and verified, for who judges servers
         self._actions: list[Action] = []
         self._order: list[str] = []  # of probes: a shuffled round, so that each member is probed within two rounds
         self._seqs = itertools.count(source.randrange(1 << 30))
@@ -123,11 +123,11 @@
         self._relayed: dict[int, tuple[str, int]] = {}  # our number of a probe for another: whom to answer, its number
         self._timers: list[tuple[int, int, str, object]] = []
         self._orders = itertools.count()
-        self._synced_us = -rules.sync_least_us
+        self._synced_us = -settings.min_sync_interval_us
         self._differs = 0  # probes in a row whose answer told another view
-        self._refuted_us = -rules.period_us
-        self._at(now_us + int(source.random() * rules.period_us), "period", None)
-        self._at(now_us + int(source.random() * rules.rejoin_us), "rejoin", None)
+        self._refuted_us = -settings.probe_interval_us
+        self._at(now_us + int(source.random() * settings.probe_interval_us), "period", None)
+        self._at(now_us + int(source.random() * settings.rejoin_interval_us), "rejoin", None)
         self._tell(self.me)
 
     # ---- time
@@ -180,7 +180,7 @@
     def _figure(claim: Alive) -> int:
         return zlib.crc32(f"{claim.name} {claim.incarnation}".encode())
 
-    def _set(self, member: Member, claim: Alive, state: State, now_us: int, why: str) -> None:
+    def _set(self, member: Member, claim: Alive, state: State, now_us: int, reason: str) -> None:
         """The one place where a member's claim and state change."""
         name, there = member.name, state in (State.ALIVE, State.SUSPECT)
         if self._there.pop(name, None) is not None:
@@ -192,7 +192,7 @@
             self._sum += self._figure(claim)
         if member.state is not state:
             member.state, member.since_us = state, now_us
-            self._actions.append(Changed(name, state, why))
+            self._actions.append(MemberChanged(name, state, reason))
             self.counts[f"members_{state.name.lower()}"] += 1
         if state is not State.SUSPECT:
             member.suspicion = None
@@ -202,7 +202,7 @@
     def _tell(self, claim: Claim) -> None:
         """Spread a claim. One of each subject and kind is told, the latest; suspicions one for each accuser."""
         subject: object = claim.name if isinstance(claim, (Alive, Leave)) else (
-            (claim.name, claim.accuser) if isinstance(claim, Suspect) else (claim.witness, claim.server, "server"))
+            (claim.name, claim.accuser) if isinstance(claim, Suspect) else (claim.reporter, claim.server, "server"))
         if isinstance(claim, Alive):  # what was held against its earlier incarnations is old news
             member = self.members.get(claim.name)
             for accuser in (member.suspicion.accusers if member is not None and member.suspicion is not None else ()):
@@ -211,12 +211,12 @@
 
     def times(self) -> int:
         """Return how often a piece of news is sent by each instance."""
-        return max(2, math.ceil(self.rules.spread * math.log2(self.size() + 1)))
+        return max(2, math.ceil(self.settings.retransmit_multiplier * math.log2(self.size() + 1)))
 
     def _claims(self, first: Iterable[Claim] = ()) -> list[Claim]:
         """Return the claims that ride on a message, those named first."""
         chosen = list(first)
-        room = self.rules.octets_most - ENVELOPE - sum(len(encoder.encode(claim)) for claim in chosen)
+        room = self.settings.max_datagram_bytes - ENVELOPE - sum(len(encoder.encode(claim)) for claim in chosen)
         return chosen + [claim for claim in self.news.take(room, self.times()) if claim not in chosen]
 
     def _send(self, address: str, message: Message) -> None:
@@ -226,7 +226,7 @@
 
     def _period(self, now_us: int) -> None:
         """Probe the next member of the round; a sick instance probes more slowly (LHA-Probe)."""
-        self._at(now_us + self.rules.period_us * (self.health + 1), "period", None)
+        self._at(now_us + self.settings.probe_interval_us * (self.health + 1), "period", None)
         self._forget(now_us)
         if self.leaving:
             return
@@ -237,8 +237,8 @@
         # Buddy system (Lifeguard): who is suspected hears of it with the first probe, and can refute it.
         held = list(member.suspicion.accusers.values()) if member.suspicion is not None else []
         self._ping(member, probe.seq, held)
-        self._at(now_us + self.rules.probe_us * (self.health + 1), "unanswered", probe)
-        self._at(now_us + self.rules.period_us * (self.health + 1) - 1, "ended", probe)
+        self._at(now_us + self.settings.probe_timeout_us * (self.health + 1), "unanswered", probe)
+        self._at(now_us + self.settings.probe_interval_us * (self.health + 1) - 1, "ended", probe)
 
     def _ping(self, member: Member, seq: int, first: Iterable[Claim] = ()) -> None:
         self._send(member.claim.address, Ping(seq, member.name, self.digest(), self._claims(first)))
@@ -261,14 +261,14 @@
         member = self.members.get(probe.name)
         if probe.answered or probe is not self._probe or member is None:
             return
-        helpers = self._draw(self.rules.helpers, probe.name)
+        helpers = self._draw(self.settings.indirect_probes, probe.name)
         probe.nacks_due = len(helpers)
         for helper in helpers:
             self._send(helper.claim.address, PingReq(
                 probe.seq, member.name, member.claim.address, self.digest(), self._claims()))
         # And over a stream, which mends what a lossy path loses: without it, a tenth of the datagrams lost meant a
         # false suspicion in every hundredth period of each instance, and their news grew with the members.
-        self._actions.append(Exchange(member.claim.address, Ping(probe.seq, member.name, self.digest())))
+        self._actions.append(OpenStream(member.claim.address, Ping(probe.seq, member.name, self.digest())))
 
     def _draw(self, count: int, but: str) -> list[Member]:
         """Draw so many members that nobody suspects."""
@@ -298,11 +298,11 @@
             member.doubted = True
             self._order.append(member.name)  # once more, at once
         else:
-            claim = signed(Suspect(member.name, member.claim.incarnation, self.me.name), self._sealer)
+            claim = sign_claim(Suspect(member.name, member.claim.incarnation, self.me.name), self._claim_signer)
             self._suspect(member, claim, now_us, own=True)
 
     def _ail(self, by: int) -> None:
-        self.health = max(0, min(self.rules.health_most, self.health + by))
+        self.health = max(0, min(self.settings.max_local_health, self.health + by))
 
     def _nack(self, about: object) -> None:
         seq = about
@@ -335,14 +335,14 @@
                     if len(self._relayed) > 1_024:
                         del self._relayed[next(iter(self._relayed))]
                     self._ping(target, seq)
-                    wait = (self.rules.period_us - self.rules.probe_us) * NACK_SHARE
+                    wait = (self.settings.probe_interval_us - self.settings.probe_timeout_us) * NACK_SHARE
                     self._at(now_us + int(wait), "nack", seq)
             case Nack():
                 if self._probe is not None and message.seq == self._probe.seq:
                     self._probe.nacks += 1
             case Sync():
                 self._hear(message.claims, now_us)
-                if message.reply:
+                if message.wants_reply:
                     self._synced_us = now_us
 
     def _answer_claims(self, sender: str) -> list[Claim]:
@@ -374,7 +374,8 @@
         self._differs += 1
         member = self.members.get(sender)
         held_dead = member is not None and member.state in (State.DEAD, State.LEFT)
-        if member is not None and (held_dead or self._differs > self.rules.differ_periods + self._quiet_periods()):
+        if member is not None and (
+                held_dead or self._differs > self.settings.max_digest_mismatches + self._quiet_periods()):
             self._sync(member.claim.address, now_us)
 
     def _quiet_periods(self) -> int:
@@ -382,11 +383,11 @@
         return 2 * self.times() if len(self.news) else 0
 
     def _sync(self, address: str, now_us: int) -> None:
-        if now_us - self._synced_us < self.rules.sync_least_us:
+        if now_us - self._synced_us < self.settings.min_sync_interval_us:
             return
         self._synced_us, self._differs = now_us, 0
         self.counts["syncs"] += 1
-        self._actions.append(Exchange(address, self.view(reply=True)))
+        self._actions.append(OpenStream(address, self.view(wants_reply=True)))
 
     def answer(self, sender: str, message: Sync | Ping, now_us: int) -> Sync | Ack | None:
         """Return what is said on a stream to an instance whose signature was checked; None: nothing."""
@@ -395,13 +396,13 @@
         if isinstance(message, Ping):
             return Ack(message.seq, self.digest(), self._answer_claims(sender))
         self._hear(message.claims, now_us)
-        return self.view(reply=False)
+        return self.view(wants_reply=False)
 
-    def view(self, reply: bool) -> Sync:
+    def view(self, wants_reply: bool) -> Sync:
         """Return all that this instance knows: its answer to a sync, too."""
         claims: list[Claim] = [] if self.leaving else [self.me]
         claims += [member.claim for member in self._there.values()]
-        return Sync(reply, claims)
+        return Sync(wants_reply, claims)
 
     # ---- claims
 
@@ -414,13 +415,13 @@
                     self._hear_leave(claim, now_us)
                 case Suspect():
                     self._hear_suspect(claim, now_us)
-                case Testimony():
+                case ServerReport():
                     if self._verified(claim):
-                        self.testimonies.append(claim)
+                        self.server_reports.append(claim)
 
     def _verified(self, claim: Claim) -> bool:
         """Check the signature of a claim that would change something; what changes nothing is not checked."""
-        if self._sealer.verify(claim.signer, claim.bound(), claim.signature):
+        if self._claim_signer.verify(claim.signer, claim.signed_fields(), claim.signature):
             return True
         self.counts["claims_unsigned"] += 1
         return False
@@ -483,13 +484,14 @@
     def _suspect(self, member: Member, claim: Suspect, now_us: int, own: bool) -> None:
         suspicion = member.suspicion
         if suspicion is None:
-            least = int(self.rules.suspicion_least * max(1.0, math.log10(self.size())) * self.rules.period_us)
-            most = int(least * self.rules.suspicion_most)
+            least = int(self.settings.suspicion_multiplier * max(1.0, math.log10(self.size()))
+                        * self.settings.probe_interval_us)
+            most = int(least * self.settings.max_suspicion_multiplier)
             suspicion = member.suspicion = Suspicion(now_us, least, most)
-            why = "no answer" if own else f"{claim.accuser} suspects it"
-            self._set(member, member.claim, State.SUSPECT, now_us, why)
+            reason = "no answer" if own else f"{claim.accuser} suspects it"
+            self._set(member, member.claim, State.SUSPECT, now_us, reason)
         suspicion.own = suspicion.own or own
-        if claim.accuser not in suspicion.accusers and len(suspicion.accusers) <= self.rules.confirmations:
+        if claim.accuser not in suspicion.accusers and len(suspicion.accusers) <= self.settings.required_confirmations:
             suspicion.accusers[claim.accuser] = claim
             self._tell(claim)
         self._at(self._ends_us(suspicion, now_us), "suspected", member.name)
@@ -497,7 +499,7 @@
     def _ends_us(self, suspicion: Suspicion, now_us: int) -> int:
         others = sum(self.trust.weight(a, now_us) for a in suspicion.accusers if a != self.me.name)
         first = 0.0 if suspicion.own else 1.0  # the first of them begins it, and does not confirm it
-        return suspicion.ends_us(max(0.0, others - first), self.rules.confirmations)
+        return suspicion.ends_us(max(0.0, others - first), self.settings.required_confirmations)
 
     def _suspected(self, name: str, now_us: int) -> None:
         """A suspicion may be over; hearsay alone buries nobody: it must have been found silent from here, too."""
@@ -512,16 +514,16 @@
         else:
             # Probe it next, and look again: by then the own probe has failed, or it has answered and may refute.
             self._order.append(name)
-            self._at(now_us + 2 * self.rules.period_us * (self.health + 1), "suspected", name)
+            self._at(now_us + 2 * self.settings.probe_interval_us * (self.health + 1), "suspected", name)
 
     def _refute(self, incarnation: int, now_us: int) -> None:
         """Say that we live: once a period, for one word answers all that is held against earlier ones."""
-        if now_us - self._refuted_us < self.rules.period_us // 2 and incarnation < self.me.incarnation:
+        if now_us - self._refuted_us < self.settings.probe_interval_us // 2 and incarnation < self.me.incarnation:
             return
         self._refuted_us = now_us
         self.counts["refutations"] += 1
         later = msgspec.structs.replace(self.me, incarnation=max(incarnation, self.me.incarnation) + 1, signature=b"")
-        claim = signed(later, self._sealer)
+        claim = sign_claim(later, self._claim_signer)
         self.me = claim
         self._tell(claim)
 
@@ -529,7 +531,8 @@
 
     def _rejoin(self, now_us: int) -> None:
         """Try a seed or a dead member now and then: who was cut off is found again, from either side."""
-        self._at(now_us + self.rules.rejoin_us + int(self._random.random() * self.rules.rejoin_us / 4), "rejoin", None)
+        self._at(now_us + self.settings.rejoin_interval_us
+                 + int(self._random.random() * self.settings.rejoin_interval_us / 4), "rejoin", None)
         if self.leaving:
             return
         known = {m.claim.address for m in self._there.values()}
@@ -539,22 +542,22 @@
             self._sync(self._random.choice(away), now_us)
 
     def _forget(self, now_us: int) -> None:
-        for name in [n for n, m in self._gone.items() if now_us - m.since_us > self.rules.forget_us]:
+        for name in [n for n, m in self._gone.items() if now_us - m.since_us > self.settings.dead_member_retention_us]:
             del self.members[name], self._gone[name]
 
     def leave(self, now_us: int) -> None:
         """Say farewell: to as many as news is told to at first, at once, for there is no later."""
-        claim = signed(Leave(self.me.name, self.me.incarnation), self._sealer)
+        claim = sign_claim(Leave(self.me.name, self.me.incarnation), self._claim_signer)
         self._tell(claim)
         for member in self._draw(self.times(), ""):
             self._ping(member, next(self._seqs), (claim,))
         self.leaving = True
 
-    def testify(self, testimony: Testimony) -> None:
+    def report_server(self, report: ServerReport) -> None:
         """Spread what this instance saw of a server itself."""
-        claim = signed(testimony, self._sealer)
+        claim = sign_claim(report, self._claim_signer)
         self._tell(claim)
 
-    def pass_on(self, testimony: Testimony) -> None:
+    def forward_report(self, report: ServerReport) -> None:
         """Spread what another saw, once it was found worth it."""
-        self._tell(testimony)
+        self._tell(report)
--- a/benchmarks/gossip_scale.py
+++ b/benchmarks/gossip_scale.py
@@ -12,7 +12,7 @@
 import time
 from typing import Any
 
-from astertrack.gossip import Rules, State
+from astertrack.gossip import GossipSettings, State
 from laboratory.gossip_world import GossipWorld, Network, octets_a_second
 
 STEADY_S = 20.0
@@ -24,15 +24,15 @@
 def measure(count: int, loss: float, seed: int, partition: bool) -> dict[str, Any]:
     """Play one size under one loss."""
     began = time.monotonic()
-    rules = Rules()
-    world = GossipWorld(count, seed, rules, Network(loss=loss, doubled=0.01))
+    settings = GossipSettings()
+    world = GossipWorld(count, seed, settings, Network(loss=loss, doubled=0.01))
     world.run(STEADY_S)
     sent = sum(i.sent for i in world.instances.values()) / count / STEADY_S
     octets = octets_a_second(world.instances.values(), STEADY_S)
     victim = world.instances[f"n{count // 2}"]
     died, victim.down = world.now, True
     agreed = world.until(world.agree, FOUND_S)
-    found = sorted((at - died) / rules.period_us for i in world.running() for at, name, state, _ in i.changes
+    found = sorted((at - died) / settings.probe_interval_us for i in world.running() for at, name, state, _ in i.changes
                    if name == victim.name and state is State.DEAD)
     hours = count * (world.now - world.began) / 3.6e9
     false = world.false_deaths({victim.name: died})
--- a/laboratory/gossip_world.py
+++ b/laboratory/gossip_world.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from astertrack.gossip.membership import Membership
-from astertrack.gossip.model import Alive, Changed, Exchange, Message, Ping, Rules, Send, State, Sync
+from astertrack.gossip.model import Alive, GossipSettings, MemberChanged, Message, OpenStream, Ping, Send, State, Sync
 
 ENVELOPE = 64 + 48  # octets round a message: signature, sender, numbers; what the real codec adds
 STREAM_OCTETS = ENVELOPE + 5 * 40  # round a message on a stream, with the packets that open and close it
@@ -32,13 +32,13 @@
     def __init__(self, name: str, secret: int) -> None:
         self.name, self._secret = name, secret
 
-    def sign(self, bound: tuple[object, ...]) -> bytes:
+    def sign(self, signed_fields: tuple[object, ...]) -> bytes:
         """Return a tag of the length of a real signature."""
-        return f"{hash((self.name, self._secret, bound)) & (2**64 - 1):064x}".encode()
+        return f"{hash((self.name, self._secret, signed_fields)) & (2**64 - 1):064x}".encode()
 
-    def verify(self, signer: str, bound: tuple[object, ...], signature: bytes) -> bool:
+    def verify(self, signer: str, signed_fields: tuple[object, ...], signature: bytes) -> bool:
         """Whether the signer made it."""
-        return signature == f"{hash((signer, self._secret, bound)) & (2**64 - 1):064x}".encode()
+        return signature == f"{hash((signer, self._secret, signed_fields)) & (2**64 - 1):064x}".encode()
 
 
 @dataclass
@@ -73,10 +73,10 @@
 class GossipWorld:
     """All instances, the network between them, and a clock."""
 
-    def __init__(self, count: int, seed: int, rules: Rules | None = None, network: Network | None = None,
+    def __init__(self, count: int, seed: int, settings: GossipSettings | None = None, network: Network | None = None,
                  skew_us: int = 0, zones: int = 2, joined: bool = True) -> None:
         self.random = random.Random(seed)
-        self.rules, self.network = rules or Rules(), network or Network()
+        self.settings, self.network = settings or GossipSettings(), network or Network()
         self.secret = self.random.getrandbits(64)
         self.now = 1_800_000_000_000_000
         self.began = self.now
@@ -98,7 +98,7 @@
     def add(self, name: str, zone: str, seeds: Iterable[str], skew_us: int = 0) -> Instance:
         """Start an instance, new or again under a name that was there."""
         me = Alive(name, (self.now + skew_us) // 1000, name, zone)
-        machine = Membership(me, seeds, self.rules, random.Random(self.random.getrandbits(64)),
+        machine = Membership(me, seeds, self.settings, random.Random(self.random.getrandbits(64)),
                              TagSealer(name, self.secret), self.now + skew_us)
         instance = self.instances[name] = Instance(name, zone, machine, skew_us)
         self._wake(instance)
@@ -144,10 +144,10 @@
         for action in instance.machine.take():
             if isinstance(action, Send):
                 self.send(instance, action.address, action.message)
-            elif isinstance(action, Exchange):
+            elif isinstance(action, OpenStream):
                 self._exchange(instance, action.address, action.message)
-            elif isinstance(action, Changed):
-                instance.changes.append((self.now, action.name, action.state, action.why))
+            elif isinstance(action, MemberChanged):
+                instance.changes.append((self.now, action.name, action.state, action.reason))
 
     def send(self, sender: Instance, address: str, message: Message) -> None:
         """Send a datagram."""
@@ -155,7 +155,7 @@
         if told is None:
             return
         octets = len(encoder.encode(told)) + ENVELOPE
-        assert octets <= self.rules.octets_most, (octets, told)
+        assert octets <= self.settings.max_datagram_bytes, (octets, told)
         sender.sent += 1
         sender.octets += octets
         receiver = self.instances.get(address)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -12,7 +12,7 @@
 
 from astertrack.gossip import Alive, Leave, Message, State, Suspect
 from astertrack.gossip.dissemination import NewsQueue, PlainQueue
-from astertrack.gossip.model import Claim, Ping, Send, signed
+from astertrack.gossip.model import Claim, Ping, Send, sign_claim
 from astertrack.gossip.replay import SKEW_US, WINDOW, Heard, Replays, ReplayWindow
 from astertrack.gossip.trust import HEEDED_LEAST, RECOVERS_US, Trust
 from laboratory.gossip_world import GossipWorld, Instance, Network, octets_a_second
@@ -129,11 +129,11 @@
 def test_a_suspicion_is_refuted_by_its_subject_and_by_nobody_else() -> None:
     world = GossipWorld(5, 1)
     accused, accuser = world.instances["n1"].machine, world.instances["n2"].machine
-    claim = signed(Suspect("n1", accused.me.incarnation, "n2"), accuser._sealer)
+    claim = sign_claim(Suspect("n1", accused.me.incarnation, "n2"), accuser._claim_signer)
     for instance in world.running():
         instance.machine.heard("n2", "n2", Ping(1, instance.name, 0, [claim]), world.local(instance))
     assert state(world, "n3", "n1") is State.SUSPECT
-    forged = signed(Alive("n1", accused.me.incarnation + 9, "elsewhere", "z"), accuser._sealer)
+    forged = sign_claim(Alive("n1", accused.me.incarnation + 9, "elsewhere", "z"), accuser._claim_signer)
     world.instances["n3"].machine.heard("n2", "n2", Ping(2, "n3", 0, [forged]), world.now)
     assert state(world, "n3", "n1") is State.SUSPECT
     assert world.instances["n3"].machine.counts["claims_unsigned"] == 1
@@ -150,7 +150,7 @@
         if sender.name not in names or not hasattr(message, "claims"):
             return message
         held = {m.name: m.claim.incarnation for m in sender.machine.alive()}
-        claims: list[Claim] = [signed(Suspect(name, held[name], sender.name), sender.machine._sealer)
+        claims: list[Claim] = [sign_claim(Suspect(name, held[name], sender.name), sender.machine._claim_signer)
                   for name in victims(sender) if name in held]
         told: Message = msgspec.structs.replace(message, claims=claims[:8])
         return told
@@ -213,7 +213,7 @@
     world = GossipWorld(10, 10)
     world.run(3)
     leaving = world.instances["n5"]
-    old = signed(Leave("n5", leaving.machine.me.incarnation), leaving.machine._sealer)
+    old = sign_claim(Leave("n5", leaving.machine.me.incarnation), leaving.machine._claim_signer)
     leaving.machine.leave(world.now)
     world.carry_out(leaving)
     leaving.down = True
--- a/tests/test_gossip_codec.py
+++ b/tests/test_gossip_codec.py
@@ -32,7 +32,7 @@
     PingReq,
     Suspect,
     Sync,
-    signed,
+    sign_claim,
 )
 from astertrack.gossip.replay import SKEW_US
 
@@ -43,7 +43,7 @@
     st.builds(Alive, NAMES, NUMBERS, st.text(max_size=20), NAMES, st.binary(max_size=64)),
     st.builds(Leave, NAMES, NUMBERS, st.binary(max_size=64)),
     st.builds(Suspect, NAMES, NUMBERS, NAMES, st.binary(max_size=64)),
-    st.builds(model.Testimony, NAMES, NAMES, st.booleans(), NUMBERS, NUMBERS, st.binary(max_size=64)))
+    st.builds(model.ServerReport, NAMES, NAMES, st.booleans(), NUMBERS, NUMBERS, st.binary(max_size=64)))
 LISTS = st.lists(CLAIMS, max_size=3)
 MESSAGES: st.SearchStrategy[Message] = st.one_of(
     st.builds(Ping, NUMBERS, NAMES, NUMBERS, LISTS), st.builds(Ack, NUMBERS, NUMBERS, LISTS),
@@ -130,8 +130,8 @@
 def test_keys_change_in_service_without_a_word_lost_and_a_withdrawn_one_ends_at_once() -> None:
     pair = Pair()
     new = Ed25519PrivateKey.from_private_bytes(b"n" * 32)
-    claim = signed(Alive("a", 1, "x", "z"), pair.a)
-    assert pair.b.verify("a", claim.bound(), claim.signature)
+    claim = sign_claim(Alive("a", 1, "x", "z"), pair.a)
+    assert pair.b.verify("a", claim.signed_fields(), claim.signature)
     both = "".join(f'[[key]]\nname = "{n}"\npublic = "{public_text(k.public_key())}"\n'
                    for n, k in (("a", KEYS["a"]), ("a", new), ("b", KEYS["b"])))
     pair.b.renew(KeyRing.read(both))
@@ -141,7 +141,7 @@
     pair.b.renew(KeyRing.read("".join(f'[[key]]\nname = "{n}"\npublic = "{public_text(k.public_key())}"\n'
                                       for n, k in (("a", new), ("b", KEYS["b"])))))
     assert pair.open(pair.a.seal(Nack(3))) == ""
-    assert not pair.b.verify("a", claim.bound(), claim.signature)  # the old key signed it, though it was checked
+    assert not pair.b.verify("a", claim.signed_fields(), claim.signature)  # verified before, but by the old key
     timed = f'[[key]]\nname = "a"\npublic = "{public_text(new.public_key())}"\nuntil_ms = {pair.now // 1000 + 5000}\n'
     pair.b.renew(KeyRing.read(timed))
     assert pair.open(pair.a.seal(Nack(4))) == ""
