--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -33,7 +33,7 @@
         """Called by Twisted when the connection is established; the socket is open after the handshake."""
         super().connectionMade()
         self.machine.connect()
-        self.write(self.machine.take())
+        self.write(self.machine.take_output())
         clock = self.link.clock
         clock.call_at(clock.now_us() + self.link.dial_timeout_us, self._on_handshake_timeout)
 
@@ -54,7 +54,7 @@
                 case ws.Text(raw):
                     self._on_text(raw)
                 case ws.Closed():
-                    self.write(self.machine.take())
+                    self.write(self.machine.take_output())
                     self.close()
                     self.link.mark_ended(self)
                 case Malformed(reason):
@@ -63,7 +63,7 @@
                     self.link.abort_connection(self)
             if self.is_closed:
                 return
-        self.write(self.machine.take())
+        self.write(self.machine.take_output())
 
     def _on_text(self, raw: str) -> None:
         try:
@@ -79,12 +79,12 @@
     def ping(self) -> None:
         """Send a ping."""
         self.machine.ping()
-        self.write(self.machine.take())
+        self.write(self.machine.take_output())
 
     def send_message(self, message: api.Message) -> None:
         """Send a message."""
         self.machine.send(api.write(message))
-        self.write(self.machine.take())
+        self.write(self.machine.take_output())
 
 
 @dataclass(eq=False)
--- a/astertrack/net/callers.py
+++ b/astertrack/net/callers.py
@@ -80,7 +80,7 @@
         """
         now = self.clock.now_us()
         idle = takewhile(lambda c: now - c.idle_since_us > MIN_EVICTION_IDLE_US, self.connections)
-        candidates = list(islice((c for c in idle if not c.machine.open and not c.has_unread_bytes()),
+        candidates = list(islice((c for c in idle if not c.machine.pending_invites and not c.has_unread_bytes()),
                                  MAX_EVICTION_CANDIDATES))
         if not candidates:
             return False
@@ -136,7 +136,7 @@
 
     def __init__(self, front: CallerFront) -> None:
         self.front, self.router, self.counts = front, front.router, front.counts
-        self.machine = sip.Server()
+        self.machine = sip.ServerConnection()
         self.idle_since_us = front.clock.now_us()  # since when no message was completed or sent
         self.partial_since_us: int | None = None  # while a message is incomplete
         self.closing_since_us: int | None = None
@@ -188,8 +188,8 @@
         """
         self.front.connections.pop(self, None)
         self.front.open_descriptors -= 1
-        for call in list(self.machine.open):
-            del self.machine.open[call]
+        for call in list(self.machine.pending_invites):
+            del self.machine.pending_invites[call]
             self.router.cancel(call)
 
     def check_timeouts(self, now_us: int) -> None:
@@ -205,14 +205,15 @@
             self._refuse_and_close("sip_closed_silent")
         elif self.partial_since_us is not None and now_us - self.partial_since_us > MESSAGE_TIMEOUT_US:
             self._refuse_and_close("sip_closed_half_sent")
-        elif not self.machine.open and now_us - self.idle_since_us > IDLE_TIMEOUT_US and not self.has_unread_bytes():
+        elif (not self.machine.pending_invites and now_us - self.idle_since_us > IDLE_TIMEOUT_US
+                and not self.has_unread_bytes()):
             self._refuse_and_close("sip_closed_idle")
 
     def _refuse_and_close(self, counter: str) -> None:
         """Refuse the open set-ups and close, waiting only briefly until the responses are sent."""
         self.counts[counter] += 1
         self.closing_since_us = self.front.clock.now_us()
-        for call in list(self.machine.open):
+        for call in list(self.machine.pending_invites):
             self.router.cancel(call)
             self.machine.refuse(call, SERVICE_UNAVAILABLE)
         self._flush()
@@ -222,11 +223,11 @@
         """Called by Twisted when bytes were received."""
         if self.closing_since_us is not None:
             return
-        messages_before = self.machine.messages
+        messages_before = self.machine.message_count
         events = self.machine.receive(data)
-        message_completed = self.machine.messages > messages_before
+        message_completed = self.machine.message_count > messages_before
         now = self.front.clock.now_us()
-        if not self.machine.partial:
+        if not self.machine.has_partial_message:
             self.partial_since_us = None
         elif message_completed or self.partial_since_us is None:
             self.partial_since_us = now
@@ -237,17 +238,17 @@
             match event:
                 case sip.SetUp():
                     self._on_set_up(event)
-                case sip.GivenUp(call):
+                case sip.CallCancelled(call):
                     self.counts["sip_given_up"] += 1
-                    if call in self.machine.open:
+                    if call in self.machine.pending_invites:
                         self.router.cancel(call)
                         self.machine.refuse(call, REQUEST_TERMINATED)
-                case sip.HungUp(call, cause):
+                case sip.CallReleased(call, cause):
                     self.counts["sip_hung_up"] += 1
                     self.router.release_call(call, cause)
                 case sip.Acknowledged():
                     self.counts["sip_acknowledged"] += 1
-                case sip.ReleaseHeard(call):
+                case sip.ReleaseConfirmed(call):
                     self.counts["sip_releases_heard"] += 1
                     self.front.pending_releases.pop(call, None)
                 case Malformed(reason):
@@ -325,6 +326,6 @@
 
     def _flush(self) -> None:
         """Send pending output. This counts as activity: a connection that just got an answer must not be evicted."""
-        if data := self.machine.take():
+        if data := self.machine.take_output():
             self._mark_active(self.front.clock.now_us())
             self.write(data)
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -85,7 +85,7 @@
         if self._partial_timer is not None:
             self._partial_timer.cancel()
             self._partial_timer = None
-        if self.stream.partial:
+        if self.stream.has_partial_message:
             clock = self.link.clock
             self._partial_timer = clock.call_at(clock.now_us() + PARTIAL_MESSAGE_TIMEOUT_US, self._on_partial_timeout)
 
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -201,7 +201,7 @@
         self.last_received_us = now = self.front.clock.now_us()
         self.ping_sent, self.is_receiving = False, True
         events = self.machine.receive(data)
-        if not self.machine.partial:
+        if not self.machine.has_partial_message:
             self.partial_since_us = None
         elif events or self.partial_since_us is None:
             self.partial_since_us = now
@@ -216,7 +216,7 @@
                     log.warning("malformed data from a client", reason=reason)
                     self.close()
         self.is_receiving = False
-        self.write(self.machine.take())
+        self.write(self.machine.take_output())
 
     def _on_text(self, raw: str) -> None:
         try:
@@ -229,7 +229,7 @@
         """Send a message, or queue it while input is being processed."""
         self.machine.send(api.write(message))
         if not self.is_receiving:
-            self.write(self.machine.take())
+            self.write(self.machine.take_output())
 
     def check_timeouts(self, now_us: int) -> None:
         """Ping an idle client, and close the connection if a timeout has expired."""
@@ -243,10 +243,10 @@
         elif now_us - self.last_received_us > PING_IDLE_US and not self.ping_sent:
             self.ping_sent = True
             self.machine.ping()
-            self.write(self.machine.take())
+            self.write(self.machine.take_output())
 
     def close_going_away(self) -> None:
         """Close the connection with status 1001 (going away), because the router stops."""
         self.machine.close(ws.CloseCode.GOING_AWAY)
-        self.write(self.machine.take())
+        self.write(self.machine.take_output())
         self.close()
--- a/astertrack/wire/callapi.py
+++ b/astertrack/wire/callapi.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from astertrack.wire.common import MAX_MESSAGE_BYTES
-from astertrack.wire.sip import CALL_ID
+from astertrack.wire.sip import CALL_ID_PATTERN
 
 
 class BadMessage(Exception):
@@ -149,7 +149,7 @@
     """Check one field's value."""
     told, good = TOLD.get(name, name), False
     if name == "id":
-        good = isinstance(value, str) and CALL_ID.fullmatch(value) is not None
+        good = isinstance(value, str) and CALL_ID_PATTERN.fullmatch(value) is not None
     elif name in FLAGS:
         good = isinstance(value, bool)
     elif name in TEXT_MOST:
@@ -174,7 +174,7 @@
     if not isinstance(message, dict):
         raise BadMessage("bad-json", "not an object")
     given = message.get("id")
-    call = given if isinstance(given, str) and CALL_ID.fullmatch(given) else None
+    call = given if isinstance(given, str) and CALL_ID_PATTERN.fullmatch(given) else None
     name: Any = message.get("type")
     kind: Any = kinds.get(name) if isinstance(name, str) else None
     if kind is None:
--- a/astertrack/wire/peer.py
+++ b/astertrack/wire/peer.py
@@ -62,17 +62,17 @@
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self.broken = False
+        self.has_failed = False
 
     @property
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a message has begun and not ended."""
         return bool(self._buffer)
 
     def receive(self, data: bytes) -> list[Message | Malformed]:
         """Take bytes; return the messages that they complete."""
         events: list[Message | Malformed] = []
-        if self.broken:
+        if self.has_failed:
             return events
         self._buffer += data
         at = 0
@@ -88,7 +88,7 @@
                 events.append(self._message(bytes(self._buffer[at + 2:at + 2 + length])))
                 at += 2 + length
         except MalformedError as wrong:
-            self.broken = True
+            self.has_failed = True
             self._buffer.clear()
             events.append(Malformed(str(wrong)))
         del self._buffer[:at]
--- a/astertrack/wire/sip.py
+++ b/astertrack/wire/sip.py
@@ -18,14 +18,14 @@
     parse_integer,
 )
 
-CALL_ID = re.compile(r"[0-9a-f]{16}", re.ASCII)
-REASONS = {100: "Trying", 200: "OK", 400: "Bad Request", 480: "Temporarily Unavailable",
+CALL_ID_PATTERN = re.compile(r"[0-9a-f]{16}", re.ASCII)
+REASON_PHRASES = {100: "Trying", 200: "OK", 400: "Bad Request", 480: "Temporarily Unavailable",
            481: "Call/Transaction Does Not Exist", 487: "Request Terminated",
            500: "Server Internal Error", 501: "Not Implemented",
            503: "Service Unavailable"}
-ECHOED = ("via", "from", "to", "call-id", "cseq")
-CONTROL = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")  # what no header may hold; a search costs less than a loop
-CAUSE = re.compile(r"cause\s*=\s*([0-9]{1,3})", re.ASCII)
+ECHOED_HEADERS = ("via", "from", "to", "call-id", "cseq")
+CONTROL_CHARACTERS = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")  # what no header may hold; a search costs less than a loop
+CAUSE_PATTERN = re.compile(r"cause\s*=\s*([0-9]{1,3})", re.ASCII)
 
 
 @dataclass(slots=True)
@@ -39,30 +39,30 @@
     body: bytes
 
 
-class Stream:
+class MessageDecoder:
     """Cuts what comes on one connection into messages, at any split of the bytes."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._scanned = 0
-        self.broken = False
+        self.has_failed = False
 
     @property
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a message has begun and not ended."""
         return bool(self._buffer)
 
     def receive(self, data: bytes) -> list[Message | Malformed]:
         """Take bytes; return the messages that they complete."""
         events: list[Message | Malformed] = []
-        if self.broken:
+        if self.has_failed:
             return events
         self._buffer += data
         try:
             while (message := self._next()) is not None:
                 events.append(message)
         except MalformedError as wrong:
-            self.broken = True
+            self.has_failed = True
             self._buffer.clear()
             events.append(Malformed(str(wrong)))
         return events
@@ -93,7 +93,7 @@
     @staticmethod
     def _head(head: str) -> tuple[str, dict[str, str]]:
         first, *lines = head.split("\r\n")
-        if CONTROL.search(head.replace("\r\n", "")):
+        if CONTROL_CHARACTERS.search(head.replace("\r\n", "")):
             raise MalformedError("control characters in a head")
         headers: dict[str, str] = {}
         last = ""
@@ -121,7 +121,7 @@
         return Message(words[0], words[1], 0, headers, body)
 
 
-def encode(first: str, headers: list[tuple[str, str]], body: bytes = b"") -> bytes:
+def encode_message(first: str, headers: list[tuple[str, str]], body: bytes = b"") -> bytes:
     """Put a message together."""
     lines = [first, *(f"{name}: {value}" for name, value in headers), f"Content-Length: {len(body)}", "", ""]
     return "\r\n".join(lines).encode() + body
@@ -140,14 +140,14 @@
 
 
 @dataclass(slots=True)
-class GivenUp:
+class CallCancelled:
     """The caller gives up a set-up."""
 
     call: str
 
 
 @dataclass(slots=True)
-class HungUp:
+class CallReleased:
     """The caller releases a call that stands."""
 
     call: str
@@ -162,17 +162,17 @@
 
 
 @dataclass(slots=True)
-class ReleaseHeard:
+class ReleaseConfirmed:
     """The caller has heard our release of a call."""
 
     call: str
 
 
-Event = SetUp | GivenUp | HungUp | Acknowledged | ReleaseHeard | Malformed
+Event = SetUp | CallCancelled | CallReleased | Acknowledged | ReleaseConfirmed | Malformed
 
 
 @dataclass(slots=True)
-class Offer:
+class PendingInvite:
     """A set-up that is not answered: the headers that its answer echoes, and what tells it from another."""
 
     headers: dict[str, str]
@@ -181,24 +181,24 @@
 
 
 @dataclass(slots=True)
-class Server:
+class ServerConnection:
     """One connection from callers: bytes in by receive, bytes out by take."""
 
-    open: dict[str, Offer] = field(default_factory=dict)  # set-ups not answered, by call
-    messages: int = 0  # whole ones that came
-    _stream: Stream = field(default_factory=Stream)
+    pending_invites: dict[str, PendingInvite] = field(default_factory=dict)  # set-ups not answered, by call
+    message_count: int = 0  # whole ones that came
+    _stream: MessageDecoder = field(default_factory=MessageDecoder)
     _out: bytearray = field(default_factory=bytearray)
 
-    def take(self) -> bytes:
+    def take_output(self) -> bytes:
         """Return what is to be written, once."""
         out = bytes(self._out)
         self._out.clear()
         return out
 
     @property
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a message has begun and not ended."""
-        return self._stream.partial
+        return self._stream.has_partial_message
 
     def receive(self, data: bytes) -> list[Event]:
         """Take bytes; return what the callers did. Tests, and what cannot be read, are answered here."""
@@ -208,12 +208,12 @@
                 self._respond({}, 400)
                 events.append(message)
                 continue
-            self.messages += 1
+            self.message_count += 1
             try:
                 event = self._event(message)
             except MalformedError as wrong:
-                self._stream.broken = True
-                if message.headers.get("call-id", "") not in self.open:  # else its own answer is still owed
+                self._stream.has_failed = True
+                if message.headers.get("call-id", "") not in self.pending_invites:  # else its own answer is still owed
                     self._respond(message.headers, 400)
                 events.append(Malformed(str(wrong)))
                 break
@@ -225,24 +225,24 @@
         if message.status:
             call = message.headers.get("call-id", "")
             ours = message.status < 300 and message.headers.get("cseq", "").endswith("BYE")
-            return ReleaseHeard(call) if ours else None
+            return ReleaseConfirmed(call) if ours else None
         if message.method == "OPTIONS":
             self._respond(message.headers, 200)
             return None
         if message.method == "NOTIFY":
             return None
         call = message.headers.get("call-id", "")
-        if not CALL_ID.fullmatch(call):
+        if not CALL_ID_PATTERN.fullmatch(call):
             raise MalformedError("Call-ID: not 16 hex digits")
         if message.method == "INVITE":
             return self._invite(call, message)
         if message.method == "CANCEL":
             self._respond(message.headers, 200)
-            return GivenUp(call)
+            return CallCancelled(call)
         if message.method == "BYE":
             self._respond(message.headers, 200)
-            cause = CAUSE.search(message.headers.get("reason", ""))
-            return HungUp(call, min(int(cause[1]), 127) if cause else 16)
+            cause = CAUSE_PATTERN.search(message.headers.get("reason", ""))
+            return CallReleased(call, min(int(cause[1]), 127) if cause else 16)
         if message.method == "ACK":
             return Acknowledged(call)
         self._respond(message.headers, 501)
@@ -253,14 +253,15 @@
         if scheme != "sip":
             raise MalformedError("not a sip: address")
         wait = parse_integer(message.headers.get("x-deadline", "missing"), "X-Deadline", 0, 10**9)
-        if (offer := self.open.get(call)) is not None:
+        if (offer := self.pending_invites.get(call)) is not None:
             if offer.uri != message.uri or offer.body != message.body:
                 raise MalformedError("the id of an open set-up with another description")
             return None  # the same set-up again on the same connection: its answer is still to come
         if len(message.body) + len(address) > MAX_MESSAGE_BYTES - DESCRIPTION_HEADROOM_BYTES:
             raise MalformedError("a set-up too long to be passed on")
-        self.open[call] = Offer({name: message.headers[name] for name in ECHOED if name in message.headers},
-                                message.uri, message.body)
+        self.pending_invites[call] = PendingInvite(
+            {name: message.headers[name] for name in ECHOED_HEADERS if name in message.headers},
+            message.uri, message.body)
         return SetUp(call, address.partition("@")[0], message.headers.get("x-tier", ""), wait,
                      message.headers.get("x-attrs", ""), message.body)
 
@@ -275,13 +276,13 @@
 
     def release(self, call: str, cause: int) -> None:
         """Release a call that stands, whichever connection it came on."""
-        self._out += encode(f"BYE sip:{call}@net SIP/2.0", [
+        self._out += encode_message(f"BYE sip:{call}@net SIP/2.0", [
             ("Via", "SIP/2.0/TCP router"), ("Call-ID", call), ("CSeq", "2 BYE"),
             ("Reason", f"Q.850;cause={cause}")])
 
     def _final(self, call: str, status: int, more: list[tuple[str, str]] | None = None,
                body: bytes = b"") -> bool:
-        offer = self.open.pop(call, None)
+        offer = self.pending_invites.pop(call, None)
         if offer is None:
             return False
         self._respond(offer.headers, status, more, body)
@@ -290,5 +291,5 @@
     def _respond(self, headers: dict[str, str], status: int, more: list[tuple[str, str]] | None = None,
                  body: bytes = b"") -> None:
         names = {"via": "Via", "from": "From", "to": "To", "call-id": "Call-ID", "cseq": "CSeq"}
-        echoed = [(names[name], headers[name]) for name in ECHOED if name in headers]
-        self._out += encode(f"SIP/2.0 {status} {REASONS[status]}", echoed + (more or []), body)
+        echoed = [(names[name], headers[name]) for name in ECHOED_HEADERS if name in headers]
+        self._out += encode_message(f"SIP/2.0 {status} {REASON_PHRASES[status]}", echoed + (more or []), body)
--- a/astertrack/wire/websocket.py
+++ b/astertrack/wire/websocket.py
@@ -121,11 +121,11 @@
         self._key = ""
 
     @property
-    def partial(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a handshake, a frame or a message in fragments has begun and not ended."""
         return self.state is State.CONNECTING or bool(self._buffer) or self._parts is not None
 
-    def take(self) -> bytes:
+    def take_output(self) -> bytes:
         """Return what is to be written, once."""
         out = bytes(self._out)
         self._out.clear()
--- a/laboratory/stand_ins.py
+++ b/laboratory/stand_ins.py
@@ -252,7 +252,7 @@
     """One connection of SIP callers."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self.stream = reader, writer, sip.Stream()
+        self.reader, self.writer, self.stream = reader, writer, sip.MessageDecoder()
         self.finals: dict[str, list[sip.Message]] = {}
         self.byes: list[str] = []
         self.tests = 0
@@ -266,14 +266,14 @@
     def invite(self, call: str, number: str, dest: int, wait_ms: int = 3000,
                tier: str = "ledger-read") -> None:
         """Place a call."""
-        self.writer.write(sip.encode(f"INVITE sip:{number}@net SIP/2.0", [
+        self.writer.write(sip.encode_message(f"INVITE sip:{number}@net SIP/2.0", [
             ("Via", "SIP/2.0/TCP peer"), ("Call-ID", call), ("CSeq", "1 INVITE"), ("X-Tier", tier),
             ("X-Deadline", str(wait_ms)), ("X-Attrs", f"dest:{dest};width:1;via:-1")],
             b"offer " + call.encode()))
 
     def ask(self, method: str, call: str) -> None:
         """Send CANCEL, BYE, ACK or OPTIONS."""
-        self.writer.write(sip.encode(f"{method} sip:{call}@net SIP/2.0", [
+        self.writer.write(sip.encode_message(f"{method} sip:{call}@net SIP/2.0", [
             ("Call-ID", call), ("CSeq", f"1 {method}")]))
 
     async def read(self) -> None:
--- a/tests/drivers.py
+++ b/tests/drivers.py
@@ -70,18 +70,18 @@
 def make_invite(call: str, number: str = "5", attrs: str = "dest:1;width:1;via:-1", wait_ms: str = "3000",
                 body: bytes = b"offer", tier: str = "ledger-read") -> bytes:
     """Return a set-up."""
-    return sip.encode(f"INVITE sip:{number}@net SIP/2.0", [
+    return sip.encode_message(f"INVITE sip:{number}@net SIP/2.0", [
         ("Call-ID", call), ("CSeq", "1 INVITE"), ("X-Tier", tier), ("X-Deadline", wait_ms),
         ("X-Attrs", attrs)], body)
 
 
 def response_statuses(transport: Any, call: str) -> list[int]:
     """Return the statuses of the responses to a set-up or, for an empty id, of those without a call id."""
-    responses = [m for m in sip.Stream().receive(transport.value()) if isinstance(m, sip.Message) and m.status]
+    responses = [m for m in sip.MessageDecoder().receive(transport.value()) if isinstance(m, sip.Message) and m.status]
     return [m.status for m in responses if m.headers.get("call-id", "") == call]
 
 
 def released_calls(transport: Any) -> list[str]:
     """Return the calls released on a connection."""
-    return [m.headers["call-id"] for m in sip.Stream().receive(transport.value())
+    return [m.headers["call-id"] for m in sip.MessageDecoder().receive(transport.value())
             if isinstance(m, sip.Message) and m.method == "BYE"]
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -16,8 +16,8 @@
 from ospreylug import interface as io
 
 FIRST_CALL, SECOND_CALL = "1" * 16, "2" * 16
-PING = sip.encode("OPTIONS sip:ping@net SIP/2.0", [("Call-ID", "ping"), ("CSeq", "1 OPTIONS")])
-RELEASE_CONFIRMATION = sip.encode("SIP/2.0 200 OK", [("Call-ID", FIRST_CALL), ("CSeq", "2 BYE")])
+PING = sip.encode_message("OPTIONS sip:ping@net SIP/2.0", [("Call-ID", "ping"), ("CSeq", "1 OPTIONS")])
+RELEASE_CONFIRMATION = sip.encode_message("SIP/2.0 200 OK", [("Call-ID", FIRST_CALL), ("CSeq", "2 BYE")])
 
 
 def connect_and_establish(fixture: SipFrontFixture, call: str = FIRST_CALL) -> tuple[Any, Any]:
@@ -81,7 +81,7 @@
             now = self.now_us()
             overdue = [0 if self.has_sent_message else now - self.active_us - MESSAGE_TIMEOUT_US,
                        now - self.partial_since_us - MESSAGE_TIMEOUT_US if self.partial_since_us is not None else 0,
-                       0 if self.connection.machine.open else now - self.active_us - IDLE_TIMEOUT_US]
+                       0 if self.connection.machine.pending_invites else now - self.active_us - IDLE_TIMEOUT_US]
             assert max(overdue) <= 2 * SWEEP_INTERVAL_US or self.is_closed
             if self.transport.is_closed and not self.is_closed:
                 assert max(overdue) > 0
@@ -91,7 +91,7 @@
     def is_closed_exactly_when_a_timeout_has_expired(self) -> None:
         assert self.transport.is_closed is self.is_closed
         if self.is_closed:  # open set-ups are answered first
-            assert not self.connection.machine.open
+            assert not self.connection.machine.pending_invites
 
 
 TestConnectionStates = ConnectionStates.TestCase
@@ -186,7 +186,7 @@
     first.dataReceived(make_invite(FIRST_CALL))
     other.dataReceived(make_invite(FIRST_CALL, body=b"another"))
     assert response_statuses(other_transport, FIRST_CALL) == [400]
-    other.dataReceived(sip.encode("CANCEL sip:5@net SIP/2.0", [("Call-ID", FIRST_CALL), ("CSeq", "1 CANCEL")]))
+    other.dataReceived(sip.encode_message("CANCEL sip:5@net SIP/2.0", [("Call-ID", FIRST_CALL), ("CSeq", "1 CANCEL")]))
     close_by_peer(other)
     fixture.harness.router.on_answered(fixture.harness.peer_by_call[FIRST_CALL], FIRST_CALL, b"answer")
     assert response_statuses(first_transport, FIRST_CALL) == [200]
@@ -214,7 +214,7 @@
     assert transport.value().startswith(b"SIP/2.0 400 ")
     assert transport.is_closed
     connection.dataReceived(b"x" * 100_000)  # nothing that still arrives is buffered
-    assert not connection.machine.partial
+    assert not connection.machine.has_partial_message
 
 
 def test_a_release_is_sent_where_calls_were_answered_not_on_the_latest_connection() -> None:
--- a/tests/test_websocket_codec.py
+++ b/tests/test_websocket_codec.py
@@ -39,20 +39,20 @@
     client, ours = WSConnection(ConnectionType.CLIENT), server()
     asked = client.send(theirs.Request(host="x", target="/calls"))
     assert feed(ours.receive, asked, cuts) == [Opened()]
-    client.receive_data(ours.take())
+    client.receive_data(ours.take_output())
     assert isinstance(next(iter(client.events())), theirs.AcceptConnection)
     data = b"".join(client.send(theirs.Message(one)) for one in said)
     data += client.send(theirs.Ping(b"are you there"))
     assert feed(ours.receive, data, cuts) == [Text(one) for one in said]
     for one in said:
         ours.send(one)
-    client.receive_data(ours.take())
+    client.receive_data(ours.take_output())
     pong, *rest = client.events()
     assert isinstance(pong, theirs.Pong)
     assert bytes(pong.payload) == b"are you there"
     assert [e.data for e in rest if isinstance(e, theirs.TextMessage)] == said
     assert feed(ours.receive, client.send(theirs.CloseConnection(1000)), cuts) == [Closed(1000)]
-    client.receive_data(ours.take())
+    client.receive_data(ours.take_output())
     assert any(isinstance(e, theirs.CloseConnection) for e in client.events())
 
 
@@ -60,7 +60,7 @@
 def test_our_client_reads_their_server_and_their_server_ours(said: list[str], cuts: list[int]) -> None:
     other, ours = WSConnection(ConnectionType.SERVER), WebSocket(Role.CLIENT, "/calls", "x")
     ours.connect()
-    other.receive_data(ours.take())
+    other.receive_data(ours.take_output())
     request = next(iter(other.events()))
     assert isinstance(request, theirs.Request)
     assert request.target == "/calls"
@@ -70,7 +70,7 @@
     for one in said:
         ours.send(one)
     ours.close(1001)
-    other.receive_data(ours.take())
+    other.receive_data(ours.take_output())
     heard = list(other.events())
     assert "".join(e.data for e in heard if isinstance(e, theirs.TextMessage)) == "".join(said)
     assert [e.code for e in heard if isinstance(e, theirs.CloseConnection)] == [1001]
@@ -97,9 +97,9 @@
 def test_what_breaks_the_protocol_is_answered_with_its_code(raw: bytes, code: int) -> None:
     ours = server()
     ours.receive(SHAKE)
-    ours.take()
+    ours.take_output()
     assert [type(event) for event in ours.receive(raw)] == [Malformed]
-    assert ours.take() == frame(0x88, code.to_bytes(2), masked=False)
+    assert ours.take_output() == frame(0x88, code.to_bytes(2), masked=False)
     assert ours.receive(frame(0x81, b"more")) == []
 
 
@@ -107,7 +107,7 @@
     ours = server()
     data = SHAKE + frame(0x01, b"a") + frame(0x89, b"p") + frame(0x00, b"b") + frame(0x80, b"c")
     assert ours.receive(data) == [Opened(), Text("abc")]
-    assert ours.take().endswith(frame(0x8A, b"p", masked=False))
+    assert ours.take_output().endswith(frame(0x8A, b"p", masked=False))
 
 
 @pytest.mark.parametrize(("change", "status"), [
@@ -118,7 +118,7 @@
 def test_a_handshake_that_will_not_do_is_told_why(change: tuple[bytes, bytes], status: bytes) -> None:
     ours = server()
     assert [type(event) for event in ours.receive(SHAKE.replace(*change))] == [Malformed]
-    assert ours.take().startswith(b"HTTP/1.1 " + status)
+    assert ours.take_output().startswith(b"HTTP/1.1 " + status)
 
 
 class Pair(RuleBasedStateMachine):
@@ -140,7 +140,7 @@
     @rule(role=st.sampled_from(Role), size=st.integers(1, 400))
     def deliver(self, role: Role, size: int) -> None:
         for end in Role:
-            self.wire[self.other(end)] += self.ends[end].take()
+            self.wire[self.other(end)] += self.ends[end].take_output()
         data, self.wire[role] = self.wire[role][:size], self.wire[role][size:]
         self.heard[role] += self.ends[role].receive(data)
 
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -15,7 +15,7 @@
 BODIES = st.binary(max_size=200)
 TOKENS = st.text("abcxyz019-", min_size=1, max_size=12)
 INVITES = st.builds(
-    lambda call, number, wait, body: (sip.SetUp(call, number, "voice", wait, "dest:2", body), sip.encode(
+    lambda call, number, wait, body: (sip.SetUp(call, number, "voice", wait, "dest:2", body), sip.encode_message(
         f"INVITE sip:{number}@net SIP/2.0",
         [("Via", "SIP/2.0/TCP peer"), ("Call-ID", call), ("CSeq", "1 INVITE"), ("X-Tier", "voice"),
          ("X-Deadline", str(wait)), ("X-Attrs", "dest:2")], body)),
@@ -24,7 +24,7 @@
 
 def bye(call: str) -> bytes:
     """A caller's release."""
-    return sip.encode(f"BYE sip:{call}@net SIP/2.0", [("call-id", call), ("CSeq", "2 BYE"),
+    return sip.encode_message(f"BYE sip:{call}@net SIP/2.0", [("call-id", call), ("CSeq", "2 BYE"),
                                                       ("Reason", "Q.850;cause=31")])
 
 
@@ -32,14 +32,14 @@
 def test_sip_messages_come_out_whole_whatever_the_split(made: list[tuple[sip.SetUp, bytes]], call: str,
                                                        cuts: list[int]) -> None:
     data = b"\r\n\r\n".join([*(raw for _, raw in made), bye(call)])
-    events = check_any_split(lambda: sip.Server().receive, data, cuts)
-    assert events == [*(event for event, _ in made), sip.HungUp(call, 31)]
+    events = check_any_split(lambda: sip.ServerConnection().receive, data, cuts)
+    assert events == [*(event for event, _ in made), sip.CallReleased(call, 31)]
 
 
 @given(BODIES, CUTS)
 def test_nothing_that_comes_breaks_a_reader(noise: bytes, cuts: list[int]) -> None:
     for start in (b"", b"INVITE sip:1@net SIP/2.0\r\n", b"\x00\x20\x0c", b"HTTP/1.1 200 OK\r\n\r\ndata: "):
-        check_any_split(lambda: sip.Server().receive, start + noise, cuts)
+        check_any_split(lambda: sip.ServerConnection().receive, start + noise, cuts)
         check_any_split(lambda: peer.Stream().receive, start + noise, cuts)
         check_any_split(lambda: sse.Client().receive, start + noise, cuts)
 
@@ -60,25 +60,25 @@
     b"x" * (MAX_MESSAGE_BYTES + 1),
 ])
 def test_malformed_sip_is_said_once_and_ends_the_connection(raw: bytes) -> None:
-    server = sip.Server()
+    server = sip.ServerConnection()
     events = feed(server.receive, raw + bye("00000000000000bb"))
     assert [type(event) for event in events] == [Malformed]
     assert server.receive(bye("00000000000000bb")) == []
 
 
 def test_sip_answers_echo_what_matches_them_and_come_once() -> None:
-    server, call = sip.Server(), "00000000000000aa"
-    server.receive(sip.encode("INVITE sip:5@net SIP/2.0", [
+    server, call = sip.ServerConnection(), "00000000000000aa"
+    server.receive(sip.encode_message("INVITE sip:5@net SIP/2.0", [
         ("Via", "SIP/2.0/TCP peer"), ("From", "a"), ("Call-ID", call), ("CSeq", "1 INVITE"),
         ("X-Deadline", "100")], b"offer"))
     assert server.refuse(call, 503, 250)
     assert not server.answer(call, b"late")
-    (message,) = sip.Stream().receive(server.take())
+    (message,) = sip.MessageDecoder().receive(server.take_output())
     assert isinstance(message, sip.Message)
     assert (message.status, message.headers["x-cooldown"]) == (503, "250")
     assert message.headers["cseq"] == "1 INVITE"
     assert (message.headers["via"], message.headers["from"]) == ("SIP/2.0/TCP peer", "a")
-    assert server.take() == b""
+    assert server.take_output() == b""
 
 
 @given(st.lists(st.builds(peer.Message, st.integers(0, 255), CALLS,
