--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -47,7 +47,7 @@
 
     def __init__(self, link: PeerLink) -> None:
         self.link = link
-        self.stream = wire.Stream()
+        self.stream = wire.MessageDecoder()
         self._partial_timer: Timer | None = None  # runs while a message is incomplete
 
     def connectionMade(self) -> None:
@@ -62,7 +62,7 @@
             try:
                 if isinstance(message, Malformed):
                     raise MalformedError(message.reason)
-                event = wire.read_event(message)
+                event = wire.parse_event(message)
             except MalformedError as error:
                 self.link.counts["peer_malformed"] += 1
                 log.warning("malformed message from a peer", peer=self.link.name, reason=str(error))
@@ -115,12 +115,12 @@
     def send_set_up(self, request: Request, deadline_us: int) -> None:
         """Send a set-up. The message gives the remaining time, which is therefore computed last."""
         wait_ms = max(1, (deadline_us - self.clock.now_us()) // 1000)
-        self._write(wire.set_up(request.call_id, request.service_name, request.number, wait_ms,
-                                request.description))
+        self._write(wire.encode_set_up(request.call_id, request.service_name, request.number, wait_ms,
+                                       request.description))
 
     def send_release(self, call: str, cause: int, answered: bool) -> None:
         """Send a release, which this protocol uses both to cancel a set-up and to release an established call."""
-        self._write(wire.release(call, cause))
+        self._write(wire.encode_release(call, cause))
 
     def probe(self) -> None:
         """Send a probe, and report its failure to the router if it is not answered in time."""
@@ -134,7 +134,7 @@
 
         self.outstanding_probes[call] = (now, self.clock.call_at(now + PROBE_TIMEOUT_US, on_timeout))
         if self.connection is not None:
-            self._write(wire.test(call))
+            self._write(wire.encode_test(call))
 
     def contains_next_message(self, event: wire.Answered) -> bool:
         """Return whether a truncated answer was completed by the message that follows it.
@@ -163,7 +163,7 @@
             case wire.GroupState(report):
                 self.counts["peer_group_states"] += 1
                 self.router.on_group_state(self.name, parse_load_report(report))
-            case wire.Tested(call, passed, report):
+            case wire.TestResult(call, passed, report):
                 if (probe := self.outstanding_probes.pop(call, None)) is not None:
                     probe[1].cancel()
                     self.router.on_group_state(self.name, parse_load_report(report), passed,
--- a/astertrack/wire/peer.py
+++ b/astertrack/wire/peer.py
@@ -13,20 +13,20 @@
 from astertrack.wire.common import DESCRIPTION_HEADROOM_BYTES, MAX_MESSAGE_BYTES, Malformed, MalformedError, decode_utf8
 
 
-class Type(IntEnum):
+class MessageType(IntEnum):
     """Types of message."""
 
     SET_UP = 1
     PROGRESS = 6
     ANSWER = 9
     RELEASE = 12
-    RELEASE_HEARD = 16
+    RELEASE_COMPLETE = 16
     GROUP_STATE = 43
     TEST = 52
     TEST_RESULT = 53
 
 
-class Code(IntEnum):
+class Parameter(IntEnum):
     """Codes of parameters."""
 
     CLASS = 1
@@ -47,7 +47,7 @@
     parameters: dict[int, bytes] = field(default_factory=dict)
 
 
-def encode(message: Message) -> bytes:
+def encode_message(message: Message) -> bytes:
     """Put a message together."""
     body = bytearray((message.type,)) + bytes.fromhex(message.call)
     for code, value in message.parameters.items():
@@ -57,7 +57,7 @@
     return struct.pack(">H", len(body)) + bytes(body)
 
 
-class Stream:
+class MessageDecoder:
     """Cuts what comes on one connection into messages, at any split of the bytes."""
 
     def __init__(self) -> None:
@@ -131,7 +131,7 @@
 
 
 @dataclass(slots=True)
-class Tested:
+class TestResult:
     """A test was answered."""
 
     call: str
@@ -146,44 +146,44 @@
     report: str
 
 
-Event = Answered | Released | Tested | GroupState
+Event = Answered | Released | TestResult | GroupState
 
 
-def read_event(message: Message) -> Event | None:
+def parse_event(message: Message) -> Event | None:
     """Say what a peer's message means; None where it means nothing to a call router."""
     parameters = message.parameters
-    report = decode_utf8(parameters.get(Code.REPORT, b""))
-    cause = parameters.get(Code.CAUSE)
-    if message.type not in Type.__members__.values():
+    report = decode_utf8(parameters.get(Parameter.REPORT, b""))
+    cause = parameters.get(Parameter.CAUSE)
+    if message.type not in MessageType.__members__.values():
         raise MalformedError("an unknown type of message")
-    if message.type == Type.ANSWER:
-        description = parameters.get(Code.DESCRIPTION)
+    if message.type == MessageType.ANSWER:
+        description = parameters.get(Parameter.DESCRIPTION)
         if description is None or len(description) > MAX_MESSAGE_BYTES - DESCRIPTION_HEADROOM_BYTES:
             raise MalformedError("an answer without a description that can be passed on")
         return Answered(message.call, description)
-    if message.type in (Type.RELEASE, Type.TEST_RESULT) and (cause is None or len(cause) != 1):
+    if message.type in (MessageType.RELEASE, MessageType.TEST_RESULT) and (cause is None or len(cause) != 1):
         raise MalformedError("a release or test result without a cause of one byte")
-    if message.type == Type.RELEASE and cause:
-        return Released(message.call, cause[0], decode_utf8(parameters.get(Code.NOTE, b"")), report)
-    if message.type == Type.TEST_RESULT and cause:
-        return Tested(message.call, cause[0] == 1, report)
-    if message.type == Type.GROUP_STATE:
+    if message.type == MessageType.RELEASE and cause:
+        return Released(message.call, cause[0], decode_utf8(parameters.get(Parameter.NOTE, b"")), report)
+    if message.type == MessageType.TEST_RESULT and cause:
+        return TestResult(message.call, cause[0] == 1, report)
+    if message.type == MessageType.GROUP_STATE:
         return GroupState(report)
     return None
 
 
-def set_up(call: str, tier: str, number: str, wait_ms: int, description: bytes) -> bytes:
+def encode_set_up(call: str, tier: str, number: str, wait_ms: int, description: bytes) -> bytes:
     """A set-up."""
-    return encode(Message(Type.SET_UP, call, {
-        Code.CLASS: tier.encode(), Code.WAIT: str(wait_ms).encode(), Code.NUMBER: number.encode(),
-        Code.DESCRIPTION: description}))
+    return encode_message(Message(MessageType.SET_UP, call, {
+        Parameter.CLASS: tier.encode(), Parameter.WAIT: str(wait_ms).encode(), Parameter.NUMBER: number.encode(),
+        Parameter.DESCRIPTION: description}))
 
 
-def release(call: str, cause: int) -> bytes:
+def encode_release(call: str, cause: int) -> bytes:
     """The end of a set-up (cause 16) or of a call that stands."""
-    return encode(Message(Type.RELEASE, call, {Code.CAUSE: bytes((cause,))}))
+    return encode_message(Message(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,))}))
 
 
-def test(call: str) -> bytes:
+def encode_test(call: str) -> bytes:
     """A test that asks for a report."""
-    return encode(Message(Type.TEST, call, {Code.CAUSE: b"\1"}))
+    return encode_message(Message(MessageType.TEST, call, {Parameter.CAUSE: b"\1"}))
--- a/laboratory/stand_ins.py
+++ b/laboratory/stand_ins.py
@@ -109,7 +109,7 @@
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Speak on one connection until it ends."""
         self.writers.append(writer)
-        stream = peer.Stream()
+        stream = peer.MessageDecoder()
         self.state(writer)
         while data := await reader.read(4096):
             for message in stream.receive(data):
@@ -119,8 +119,8 @@
     def state(self, writer: asyncio.StreamWriter) -> None:
         """Tell how many circuits of the group are free: at the start, and whenever one has become so."""
         taken = sum(count > 0 for count in self.out.values())
-        self.say(writer, peer.Type.GROUP_STATE, "0" * 16, {
-            peer.Code.REPORT: f"x0:{max(0, CIRCUITS - taken)};x1:{CIRCUITS};eps:0".encode()})
+        self.say(writer, peer.MessageType.GROUP_STATE, "0" * 16, {
+            peer.Parameter.REPORT: f"x0:{max(0, CIRCUITS - taken)};x1:{CIRCUITS};eps:0".encode()})
 
     def free(self, call: str, writer: asyncio.StreamWriter) -> None:
         """A call holds its circuit no longer."""
@@ -130,28 +130,28 @@
     def heard(self, message: peer.Message, writer: asyncio.StreamWriter) -> None:
         """Act on one message."""
         call = message.call
-        if message.type == peer.Type.TEST:
-            self.say(writer, peer.Type.TEST_RESULT, call, {peer.Code.CAUSE: b"\1"})
-        elif message.type == peer.Type.SET_UP:
+        if message.type == peer.MessageType.TEST:
+            self.say(writer, peer.MessageType.TEST_RESULT, call, {peer.Parameter.CAUSE: b"\1"})
+        elif message.type == peer.MessageType.SET_UP:
             self.taken(call)
-            self.later(self.decide(call, message.parameters[peer.Code.NUMBER].decode(),
-                                   message.parameters[peer.Code.DESCRIPTION], writer))
-        elif message.type == peer.Type.RELEASE:
-            self.released.append((call, message.parameters[peer.Code.CAUSE][0]))
+            self.later(self.decide(call, message.parameters[peer.Parameter.NUMBER].decode(),
+                                   message.parameters[peer.Parameter.DESCRIPTION], writer))
+        elif message.type == peer.MessageType.RELEASE:
+            self.released.append((call, message.parameters[peer.Parameter.CAUSE][0]))
             self.free(call, writer)
             self.standing.discard(call)
 
-    def say(self, writer: asyncio.StreamWriter, kind: peer.Type, call: str,
+    def say(self, writer: asyncio.StreamWriter, kind: peer.MessageType, call: str,
             parameters: dict[int, bytes]) -> None:
         """Write one message."""
-        writer.write(peer.encode(peer.Message(kind, call, parameters)))
+        writer.write(peer.encode_message(peer.Message(kind, call, parameters)))
 
     def end(self, writer: asyncio.StreamWriter, call: str, cause: int, note: bytes = b"") -> None:
         """Release a call or a set-up."""
         self.free(call, writer)
         self.standing.discard(call)
-        self.say(writer, peer.Type.RELEASE, call,
-                 {peer.Code.CAUSE: bytes((cause,)), **({peer.Code.NOTE: note} if note else {})})
+        self.say(writer, peer.MessageType.RELEASE, call,
+                 {peer.Parameter.CAUSE: bytes((cause,)), **({peer.Parameter.NOTE: note} if note else {})})
 
     async def decide(self, call: str, number: str, description: bytes, writer: asyncio.StreamWriter) -> None:
         """Answer as the number's first word says."""
@@ -167,7 +167,7 @@
             self.end(writer, call, 41)
         elif what != "silent" and self.out[call]:
             self.standing.add(call)
-            self.say(writer, peer.Type.ANSWER, call, {peer.Code.DESCRIPTION: b"answer to " + description})
+            self.say(writer, peer.MessageType.ANSWER, call, {peer.Parameter.DESCRIPTION: b"answer to " + description})
             if what != "long":
                 await asyncio.sleep(0.1)
                 if call in self.standing:
@@ -186,7 +186,8 @@
         if not self.cut:
             super().heard(message, writer)
 
-    def say(self, writer: asyncio.StreamWriter, kind: peer.Type, call: str, parameters: dict[int, bytes]) -> None:
+    def say(self, writer: asyncio.StreamWriter, kind: peer.MessageType, call: str,
+            parameters: dict[int, bytes]) -> None:
         """Say nothing while cut off."""
         if not self.cut:
             super().say(writer, kind, call, parameters)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -83,15 +83,15 @@
 
     def send(self, kind: int, call: str, parameters: dict[int, bytes]) -> None:
         """Send a message from the peer."""
-        self.connection.dataReceived(wire.encode(wire.Message(kind, call, parameters)))
+        self.connection.dataReceived(wire.encode_message(wire.Message(kind, call, parameters)))
 
     def send_answer(self, call: str) -> None:
         """Send the answer to a set-up from the peer."""
-        self.send(wire.Type.ANSWER, call, {wire.Code.DESCRIPTION: b"answer"})
+        self.send(wire.MessageType.ANSWER, call, {wire.Parameter.DESCRIPTION: b"answer"})
 
     def sent_messages(self, connection: int = -1) -> list[tuple[int, str]]:
         """Return the types and calls of the messages sent to the peer on a connection."""
-        messages = wire.Stream().receive(self.transports[connection].value())
+        messages = wire.MessageDecoder().receive(self.transports[connection].value())
         return [(m.type, m.call) for m in messages if isinstance(m, wire.Message)]
 
     def pass_time(self, us: int) -> None:
@@ -113,9 +113,9 @@
 CORRUPT_MESSAGES = [
     b"\xff\xff" + bytes(60), b"\x00\x04" + bytes(60), b"\x00\x09\x63" + bytes(8),
     b"\x00\x0f\x09" + bytes.fromhex(FIRST_CALL) + b"\x1f\xff\xff\x00\x00\x00",
-    wire.encode(wire.Message(wire.Type.ANSWER, FIRST_CALL, {})),
+    wire.encode_message(wire.Message(wire.MessageType.ANSWER, FIRST_CALL, {})),
     b"\x00\x11\x09" + bytes.fromhex(FIRST_CALL) + b"\x1f\x00\x01a\x1f\x00\x01b",
-    wire.encode(wire.Message(wire.Type.RELEASE, FIRST_CALL, {}))]
+    wire.encode_message(wire.Message(wire.MessageType.RELEASE, FIRST_CALL, {}))]
 
 
 @pytest.mark.parametrize("corrupt_message", CORRUPT_MESSAGES)
@@ -130,16 +130,19 @@
     assert not peer.harness.finals
     assert peer.router.counts["attempts_cut"] == 2
     peer.connect()  # at once; set-ups that may have been answered are released before anything else
-    assert sorted(peer.sent_messages()) == [(wire.Type.RELEASE, FIRST_CALL), (wire.Type.RELEASE, SECOND_CALL)]
+    assert sorted(peer.sent_messages()) == [
+        (wire.MessageType.RELEASE, FIRST_CALL), (wire.MessageType.RELEASE, SECOND_CALL)]
     peer.pass_time(350_000)
-    assert sorted(peer.sent_messages())[:2] == [(wire.Type.SET_UP, FIRST_CALL), (wire.Type.SET_UP, SECOND_CALL)]
+    assert sorted(peer.sent_messages())[:2] == [
+        (wire.MessageType.SET_UP, FIRST_CALL), (wire.MessageType.SET_UP, SECOND_CALL)]
     peer.send_answer(FIRST_CALL)
     assert peer.harness.answers == {FIRST_CALL: "answer"}
 
 
 def test_a_truncated_message_ends_its_connection_and_a_delayed_one_does_not() -> None:
     peer = connected_peer(FIRST_CALL)
-    message = wire.encode(wire.Message(wire.Type.ANSWER, FIRST_CALL, {wire.Code.DESCRIPTION: b"answer"}))
+    message = wire.encode_message(wire.Message(
+        wire.MessageType.ANSWER, FIRST_CALL, {wire.Parameter.DESCRIPTION: b"answer"}))
     peer.connection.dataReceived(message[:9])
     peer.pass_time(PARTIAL_MESSAGE_TIMEOUT_US - 50_000)
     peer.connection.dataReceived(message[9:] + message[:3])
@@ -156,9 +159,10 @@
 def test_a_message_after_a_truncated_answer_is_not_taken_for_the_rest_of_it(separate_reads: bool, missing: int) -> None:
     """An answer was truncated, the following group state completed it, and the caller received both as the answer."""
     peer = connected_peer(FIRST_CALL)
-    truncated = wire.encode(wire.Message(
-        wire.Type.ANSWER, FIRST_CALL, {wire.Code.DESCRIPTION: b"c=IN IP4 10.4.7.9"}))[:-missing]
-    state = wire.encode(wire.Message(wire.Type.GROUP_STATE, "0" * 16, {wire.Code.REPORT: b"x0:12;x1:40;eps:0"}))
+    truncated = wire.encode_message(wire.Message(
+        wire.MessageType.ANSWER, FIRST_CALL, {wire.Parameter.DESCRIPTION: b"c=IN IP4 10.4.7.9"}))[:-missing]
+    state = wire.encode_message(wire.Message(
+        wire.MessageType.GROUP_STATE, "0" * 16, {wire.Parameter.REPORT: b"x0:12;x1:40;eps:0"}))
     for data in (truncated, state) if separate_reads else (truncated + state,):
         peer.connection.dataReceived(data)
     assert not peer.harness.finals
@@ -169,8 +173,8 @@
 def test_a_description_with_control_characters_is_accepted_if_the_offer_has_them_too() -> None:
     peer = connected_peer(FIRST_CALL)
     peer.router.calls[FIRST_CALL].request.description = b"\0binary"
-    peer.connection.dataReceived(wire.encode(wire.Message(
-        wire.Type.ANSWER, FIRST_CALL, {wire.Code.DESCRIPTION: b"\0\1theirs"})))
+    peer.connection.dataReceived(wire.encode_message(wire.Message(
+        wire.MessageType.ANSWER, FIRST_CALL, {wire.Parameter.DESCRIPTION: b"\0\1theirs"})))
     assert peer.harness.finals == {FIRST_CALL: 1}
     assert not peer.transports[0].aborted
 
@@ -206,7 +210,7 @@
     peer.offer_call(SECOND_CALL)
     assert peer.transports[0].value() == before
     peer.connect()
-    assert (wire.Type.SET_UP, SECOND_CALL) in peer.sent_messages()
+    assert (wire.MessageType.SET_UP, SECOND_CALL) in peer.sent_messages()
 
 
 def test_nothing_is_kept_for_or_dialled_to_a_peer_that_left_the_roster() -> None:
@@ -231,16 +235,16 @@
     peer.router.offer(request, cast(Any, peer.harness))
     assert peer.harness.finals == {FIRST_CALL: 1}
     peer.offer_call(SECOND_CALL)
-    assert peer.sent_messages() == [(wire.Type.SET_UP, SECOND_CALL)]
+    assert peer.sent_messages() == [(wire.MessageType.SET_UP, SECOND_CALL)]
 
 
 def test_an_unresponsive_connection_is_probed_dropped_and_its_calls_released_in_time() -> None:
     peer = connected_peer(FIRST_CALL)
     peer.send_answer(FIRST_CALL)
     peer.pass_time(KEEPALIVE_IDLE_US + 2 * LIVENESS_CHECK_INTERVAL_US)
-    probes = [c for kind, c in peer.sent_messages() if kind == wire.Type.TEST]
+    probes = [c for kind, c in peer.sent_messages() if kind == wire.MessageType.TEST]
     assert len(probes) == 1
-    peer.send(wire.Type.TEST_RESULT, probes[0], {wire.Code.CAUSE: b"\1"})  # responsive
+    peer.send(wire.MessageType.TEST_RESULT, probes[0], {wire.Parameter.CAUSE: b"\1"})  # responsive
     peer.pass_time(UNRESPONSIVE_TIMEOUT_US - 50_000)
     assert not peer.transports[0].aborted
     peer.pass_time(2 * LIVENESS_CHECK_INTERVAL_US)
@@ -254,7 +258,7 @@
     assert PEER_LOST_TIMEOUT_US + 2 * LIVENESS_CHECK_INTERVAL_US < 8_000_000
     peer.connect()
     # The peer was unreachable, not dead: the circuits of the call are freed there.
-    assert (wire.Type.RELEASE, FIRST_CALL) in peer.sent_messages()
+    assert (wire.MessageType.RELEASE, FIRST_CALL) in peer.sent_messages()
 
 
 def test_a_pause_of_the_router_is_not_taken_for_unresponsive_peers() -> None:
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -40,7 +40,7 @@
 def test_nothing_that_comes_breaks_a_reader(noise: bytes, cuts: list[int]) -> None:
     for start in (b"", b"INVITE sip:1@net SIP/2.0\r\n", b"\x00\x20\x0c", b"HTTP/1.1 200 OK\r\n\r\ndata: "):
         check_any_split(lambda: sip.ServerConnection().receive, start + noise, cuts)
-        check_any_split(lambda: peer.Stream().receive, start + noise, cuts)
+        check_any_split(lambda: peer.MessageDecoder().receive, start + noise, cuts)
         check_any_split(lambda: sse.Client().receive, start + noise, cuts)
 
 
@@ -84,8 +84,8 @@
 @given(st.lists(st.builds(peer.Message, st.integers(0, 255), CALLS,
                           st.dictionaries(st.integers(0, 255), BODIES, max_size=4)), max_size=5), CUTS)
 def test_binary_messages_survive_any_split(messages: list[peer.Message], cuts: list[int]) -> None:
-    data = b"".join(map(peer.encode, messages))
-    assert check_any_split(lambda: peer.Stream().receive, data, cuts) == messages
+    data = b"".join(map(peer.encode_message, messages))
+    assert check_any_split(lambda: peer.MessageDecoder().receive, data, cuts) == messages
 
 
 @pytest.mark.parametrize("raw", [
@@ -93,7 +93,7 @@
     b"\x00\x0c\x0c" + b"1" * 8 + b"\x1d\x00\x01",
 ])
 def test_malformed_binary_messages_are_said_once(raw: bytes) -> None:
-    stream = peer.Stream()
+    stream = peer.MessageDecoder()
     assert [type(event) for event in feed(stream.receive, raw)] == [Malformed]
     assert stream.receive(raw) == []
 
@@ -101,7 +101,7 @@
 def test_a_release_needs_a_cause_of_one_byte() -> None:
     for parameters in ({}, {29: b""}, {29: b"16"}):
         with pytest.raises(MalformedError):
-            peer.read_event(peer.Message(peer.Type.RELEASE, "0" * 16, parameters))
+            peer.parse_event(peer.Message(peer.MessageType.RELEASE, "0" * 16, parameters))
 
 
 def test_reports_are_read_under_either_name_and_nonsense_is_left_out() -> None:
