--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -67,8 +67,8 @@
 
     def _on_text(self, raw: str) -> None:
         try:
-            self.link.on_message(api.read_reply(raw))
-        except api.BadMessage as error:
+            self.link.on_message(api.decode_reply(raw))
+        except api.InvalidMessageError as error:
             self.link.counts["peer_malformed"] += 1
             log.warning("malformed message from a destination", peer=self.link.name, reason=error.reason)
 
@@ -83,7 +83,7 @@
 
     def send_message(self, message: api.Message) -> None:
         """Send a message."""
-        self.machine.send(api.write(message))
+        self.machine.send(api.encode_message(message))
         self.write(self.machine.take_output())
 
 
@@ -102,7 +102,7 @@
 
     def _send_message(self, message: api.Message) -> None:
         """Send a message if there is a connection. Raises ValueError if it is a set-up that is too long."""
-        if isinstance(message, api.SetUp) and len(api.write(message).encode()) > MAX_MESSAGE_BYTES:
+        if isinstance(message, api.SetUp) and len(api.encode_message(message).encode()) > MAX_MESSAGE_BYTES:
             raise ValueError("message too long")
         if isinstance(self.connection, ApiConnection):
             self.connection.send_message(message)
@@ -139,7 +139,7 @@
 
     def on_message(self, message: api.Message) -> None:
         """Pass a message from the destination to the router."""
-        self.counts["peer_" + api.NAMES[type(message)]] += 1
+        self.counts["peer_" + api.TYPE_NAMES[type(message)]] += 1
         match message:
             case api.Answer(call, description):
                 self.outstanding_set_ups.discard(call)
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -87,11 +87,11 @@
         if isinstance(request, api.SetUp) and call is not None and (
                 replace(request, deadline=0) != replace(call.set_up, deadline=0)):
             # A different call under an id in use must affect neither the existing call nor its client.
-            raise api.BadMessage("id-in-use", "another call has this id", request.id)
+            raise api.InvalidMessageError("id-in-use", "another call has this id", request.id)
         if isinstance(request, api.SetUp) and call is None:
             self._set_up(session, request)
         elif call is None:
-            raise api.BadMessage("unknown-call", "no such call", request.id)
+            raise api.InvalidMessageError("unknown-call", "no such call", request.id)
         elif isinstance(request, (api.SetUp, api.Resume)):
             # A repeated request, possibly over a new socket, refers to the same call and never causes a second set-up.
             self.counts["ws_repeats"] += 1
@@ -107,16 +107,17 @@
         elif call.ended_us is not None:
             session.send_message(call.last_message)
         else:
-            raise api.BadMessage("not-standing", "the call is not answered: cancel it", request.id)
+            raise api.InvalidMessageError("not-standing", "the call is not answered: cancel it", request.id)
 
     def _set_up(self, session: Session, message: api.SetUp) -> None:
         service = self.classes.get(message.service)
         if service is None:
-            raise api.BadMessage("unknown-class", "no such class of call", message.id)
+            raise api.InvalidMessageError("unknown-class", "no such class of call", message.id)
         if message.dest < 0 and not self.router.gate.resolves_destination:
-            raise api.BadMessage("bad-field", "field dest is needed: there is no plan to find it by", message.id)
+            raise api.InvalidMessageError(
+                "bad-field", "field dest is needed: there is no plan to find it by", message.id)
         if message.id in self.router.calls:
-            raise api.BadMessage("id-in-use", "another caller's call has this id", message.id)
+            raise api.InvalidMessageError("id-in-use", "another caller's call has this id", message.id)
         now = self.router.now_us()
         max_deadline_us = now + self.router.settings.classes[service].deadline_us
         self.counts["ws_set_ups"] += 1
@@ -220,14 +221,14 @@
 
     def _on_text(self, raw: str) -> None:
         try:
-            self.front.on_request(self, api.read_request(raw))
-        except api.BadMessage as error:
+            self.front.on_request(self, api.decode_request(raw))
+        except api.InvalidMessageError as error:
             self.counts["ws_errors_sent"] += 1
             self.send_message(api.Error(error.code, error.reason, error.id))
 
     def send_message(self, message: api.Message) -> None:
         """Send a message, or queue it while input is being processed."""
-        self.machine.send(api.write(message))
+        self.machine.send(api.encode_message(message))
         if not self.is_receiving:
             self.write(self.machine.take_output())
 
--- a/astertrack/wire/callapi.py
+++ b/astertrack/wire/callapi.py
@@ -15,7 +15,7 @@
 from astertrack.wire.sip import CALL_ID_PATTERN
 
 
-class BadMessage(Exception):
+class InvalidMessageError(Exception):
     """A message that cannot be acted on: the code and reason of the error that answers it."""
 
     def __init__(self, code: str, reason: str, id: str | None = None) -> None:
@@ -128,41 +128,41 @@
 
 Request = SetUp | Cancel | Release | Resume
 Message = Request | Progress | Answer | Refused | Failed | Cancelled | Released | State | Error
-REQUESTS: dict[str, type[Any]] = {"setup": SetUp, "cancel": Cancel, "release": Release,
+REQUEST_TYPES: dict[str, type[Any]] = {"setup": SetUp, "cancel": Cancel, "release": Release,
                                  "resume": Resume}
-REPLIES: dict[str, type[Any]] = {
+REPLY_TYPES: dict[str, type[Any]] = {
     "progress": Progress, "answer": Answer, "refused": Refused, "failed": Failed, "cancelled": Cancelled,
     "released": Released, "state": State, "error": Error}
-NAMES = {kind: name for name, kind in (REQUESTS | REPLIES).items()}
-RENAMED = {"class": "service"}  # the API's word is Python's
-TOLD = {"service": "class"}
-TEXT_MOST = {"number": 128, "service": 64, "code": 64, "reason": 512, "description": MAX_MESSAGE_BYTES}
-WHOLE = {"dest": (-1, 2**31), "deadline": (0, 2**53), "via": (-1, 2**31), "cooldown": (0, 2**31),
+TYPE_NAMES = {kind: name for name, kind in (REQUEST_TYPES | REPLY_TYPES).items()}
+FIELD_NAMES = {"class": "service"}  # the API's word is Python's
+KEY_NAMES = {"service": "class"}
+MAX_TEXT_LENGTHS = {"number": 128, "service": 64, "code": 64, "reason": 512, "description": MAX_MESSAGE_BYTES}
+INTEGER_RANGES = {"dest": (-1, 2**31), "deadline": (0, 2**53), "via": (-1, 2**31), "cooldown": (0, 2**31),
          "cause": (1, 127)}
-NUMBERS = {"width": (1e-6, 64.0), "free": (0.0, 1e9), "size": (0.0, 1e9), "hold_back": (0.0, 1.0)}
-FLAGS = ("transit", "again")
-NEEDED: dict[type[Any], tuple[str, ...]] = {
+NUMBER_RANGES = {"width": (1e-6, 64.0), "free": (0.0, 1e9), "size": (0.0, 1e9), "hold_back": (0.0, 1.0)}
+BOOLEAN_FIELDS = ("transit", "again")
+REQUIRED_FIELDS: dict[type[Any], tuple[str, ...]] = {
     SetUp: ("id", "service", "number", "deadline"), Error: ("code", "reason"), State: ()}
 
 
 def _value(name: str, value: object, call: str | None) -> object:
     """Check one field's value."""
-    told, good = TOLD.get(name, name), False
+    told, good = KEY_NAMES.get(name, name), False
     if name == "id":
         good = isinstance(value, str) and CALL_ID_PATTERN.fullmatch(value) is not None
-    elif name in FLAGS:
+    elif name in BOOLEAN_FIELDS:
         good = isinstance(value, bool)
-    elif name in TEXT_MOST:
-        good = isinstance(value, str) and len(value) <= TEXT_MOST[name] and (
+    elif name in MAX_TEXT_LENGTHS:
+        good = isinstance(value, str) and len(value) <= MAX_TEXT_LENGTHS[name] and (
             name == "description" or value.isprintable())
     elif isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
         good = False
-    elif name in WHOLE:
-        good = isinstance(value, int) and WHOLE[name][0] <= value <= WHOLE[name][1]
+    elif name in INTEGER_RANGES:
+        good = isinstance(value, int) and INTEGER_RANGES[name][0] <= value <= INTEGER_RANGES[name][1]
     else:
-        good = NUMBERS[name][0] <= value <= NUMBERS[name][1]
+        good = NUMBER_RANGES[name][0] <= value <= NUMBER_RANGES[name][1]
     if not good:
-        raise BadMessage("bad-field", f"field {told} has no value that can be used", call)
+        raise InvalidMessageError("bad-field", f"field {told} has no value that can be used", call)
     return value
 
 
@@ -170,38 +170,38 @@
     try:
         message = json.loads(raw)
     except (ValueError, RecursionError):
-        raise BadMessage("bad-json", "not JSON") from None
+        raise InvalidMessageError("bad-json", "not JSON") from None
     if not isinstance(message, dict):
-        raise BadMessage("bad-json", "not an object")
+        raise InvalidMessageError("bad-json", "not an object")
     given = message.get("id")
     call = given if isinstance(given, str) and CALL_ID_PATTERN.fullmatch(given) else None
     name: Any = message.get("type")
     kind: Any = kinds.get(name) if isinstance(name, str) else None
     if kind is None:
-        raise BadMessage("unknown-type", "no such type of message", call)
-    fields: dict[str, Any] = {RENAMED.get(str(key), str(key)): value for key, value in message.items()}
+        raise InvalidMessageError("unknown-type", "no such type of message", call)
+    fields: dict[str, Any] = {FIELD_NAMES.get(str(key), str(key)): value for key, value in message.items()}
     known = kind.__dataclass_fields__
     values = {key: _value(key, value, call) for key, value in fields.items()
               if key in known and value is not None}
-    for field in NEEDED.get(kind, ("id",)):
+    for field in REQUIRED_FIELDS.get(kind, ("id",)):
         if field not in values:
-            raise BadMessage("missing-field", f"field {TOLD.get(field, field)} is missing", call)
+            raise InvalidMessageError("missing-field", f"field {KEY_NAMES.get(field, field)} is missing", call)
     return kind(**values)
 
 
-def read_request(raw: str) -> Request:
+def decode_request(raw: str) -> Request:
     """Read what a client sent, or raise a BadMessage. Fields that are not known are passed over."""
-    message: Request = _read(raw, REQUESTS)
+    message: Request = _read(raw, REQUEST_TYPES)
     return message
 
 
-def read_reply(raw: str) -> Message:
+def decode_reply(raw: str) -> Message:
     """Read what a server sent, or raise a BadMessage."""
-    message: Message = _read(raw, REPLIES)
+    message: Message = _read(raw, REPLY_TYPES)
     return message
 
 
-def write(message: Message) -> str:
+def encode_message(message: Message) -> str:
     """Put a message into JSON."""
-    fields = {TOLD.get(name, name): value for name, value in asdict(message).items() if value is not None}
-    return json.dumps({"type": NAMES[type(message)], **fields}, separators=(",", ":"))
+    fields = {KEY_NAMES.get(name, name): value for name, value in asdict(message).items() if value is not None}
+    return json.dumps({"type": TYPE_NAMES[type(message)], **fields}, separators=(",", ":"))
--- a/tests/test_call_front.py
+++ b/tests/test_call_front.py
@@ -63,7 +63,7 @@
     now_ms = session.front.router.now_us() // 1000
     set_up = api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000)
     front.on_request(session, set_up)
-    with pytest.raises(api.BadMessage):
+    with pytest.raises(api.InvalidMessageError):
         front.on_request(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000, description="other"))
     front.on_request(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000))  # a repeat
     assert front.calls["1" * 16].set_up is set_up
