--- a/astertrack/net/bulletin.py
+++ b/astertrack/net/bulletin.py
@@ -59,13 +59,13 @@
 
     def __init__(self, bulletin: Bulletin) -> None:
         self.bulletin = bulletin
-        self.machine = sse.Client()
+        self.machine = sse.EventDecoder()
         self.is_closed = False  # replaced by another connection: what still arrives on it, or its end, is ignored
 
     def connectionMade(self) -> None:
         """Called by Twisted when the connection is established: request what follows the last received event."""
         super().connectionMade()
-        self.write(sse.get("/bulletins", self.bulletin.address, str(self.bulletin.last_event)))
+        self.write(sse.encode_request("/bulletins", self.bulletin.address, str(self.bulletin.last_event)))
         self.bulletin.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
@@ -81,7 +81,7 @@
                 self.bulletin.on_event(event)
             if self.is_closed:
                 return
-        if self.machine.ended:
+        if self.machine.is_ended:
             self.drop()
 
     def drop(self) -> None:
--- a/astertrack/net/control.py
+++ b/astertrack/net/control.py
@@ -49,7 +49,7 @@
     """One connection on which versions are received."""
 
     def __init__(self, client: ControlClient) -> None:
-        self.client, self.machine = client, control.Stream()
+        self.client, self.machine = client, control.VersionStreamDecoder()
         self.is_paused = False
 
     def connectionMade(self) -> None:
@@ -70,7 +70,7 @@
             self.client.on_event(event)
             if self.is_closed:
                 break
-        if self.machine.ended and not self.is_closed:
+        if self.machine.is_ended and not self.is_closed:
             self.drop()
         self.client.record_turn(start_s)
 
@@ -100,12 +100,12 @@
 
     def __init__(self, client: ControlClient, batch: tuple[Report, ...]) -> None:
         self.client, self.batch = client, batch
-        self.reader = http.Reader(http.Kind.RESPONSE)
+        self.reader = http.MessageDecoder(http.MessageKind.RESPONSE)
 
     def connectionMade(self) -> None:
         """Called by Twisted when the connection is established: send the batch."""
         super().connectionMade()
-        self.write(http.request("POST", control.STATUS, self.client.address, write_reports(self.batch)))
+        self.write(http.encode_request("POST", control.STATUS_PATH, self.client.address, write_reports(self.batch)))
 
     def dataReceived(self, data: bytes) -> None:
         """Called by Twisted when bytes were received."""
@@ -231,7 +231,7 @@
         """Return the request that opens a stream."""
         full, self._full_requested = self._full_requested, False
         newest = self.versions.newest
-        return control.ask(self.address, self.router, str(newest) if newest is not None else "", full)
+        return control.encode_stream_request(self.address, self.router, str(newest) if newest is not None else "", full)
 
     def on_connected(self, stream: VersionStream) -> None:
         """Take over a connection that is established and has sent its request."""
@@ -279,11 +279,11 @@
         """Pass an event of the stream to the versions."""
         now = self.clock.now_us()
         match event:
-            case control.Head(raw):
+            case control.VersionHead(raw):
                 self.versions.header(raw, now)
-            case control.Lines(lines):
+            case control.VersionRecords(lines):
                 self.versions.lines(lines)
-            case control.End():
+            case control.VersionEnd():
                 self.versions.end(now)
                 # A stream that delivers versions is worth redialling soon even if it breaks off: with the full backoff,
                 # four breaks in ten seconds kept a router away for eleven.
--- a/astertrack/net/versionserver.py
+++ b/astertrack/net/versionserver.py
@@ -32,8 +32,8 @@
 
     def __init__(self, service: VersionService) -> None:
         self.service = service
-        self.reader = http.Reader(http.Kind.REQUEST)
-        self.stream_request: control.Asked | None = None
+        self.reader = http.MessageDecoder(http.MessageKind.REQUEST)
+        self.stream_request: control.StreamRequest | None = None
         self.last_sent = ""  # the id of the version that was sent last
         self.queue: deque[Iterator[bytes]] = deque()
         self.is_producing = False
@@ -46,7 +46,7 @@
         clock.call_at(clock.now_us() + REQUEST_TIMEOUT_US, self._on_request_timeout)
 
     def _on_request_timeout(self) -> None:
-        if not self.reader.done:
+        if not self.reader.is_done:
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -64,15 +64,15 @@
         if isinstance(message, Malformed):
             self.service.counts["malformed"] += 1
             self._respond(400, "Bad Request", message.reason.encode())
-        elif (stream_request := control.read_ask(message)) is not None:
+        elif (stream_request := control.parse_stream_request(message)) is not None:
             self.stream_request, self.last_sent = stream_request, stream_request.after
             self.service.counts["streams"] += 1
             self.service.streams.add(self)
-            self.write(http.stream())
+            self.write(http.encode_stream_head())
             self.send_next(stream_request.full)
-        elif message.target == control.STATUS and message.method == "POST":
+        elif message.target == control.STATUS_PATH and message.method == "POST":
             self._on_status(message.body)
-        elif message.target == control.STATUS and message.method == "GET":
+        elif message.target == control.STATUS_PATH and message.method == "GET":
             self._respond(200, "OK", msgspec.json.encode(list(self.service.ledger.rows())))
         else:
             self._respond(404, "Not Found", b"no such thing here")
@@ -88,7 +88,7 @@
         self._respond(204, "No Content")
 
     def _respond(self, status: int, phrase: str, body: bytes = b"") -> None:
-        self.write(http.response(status, phrase, body))
+        self.write(http.encode_response(status, phrase, body))
         self.close()
 
     def send_next(self, full: bool = False) -> None:
@@ -101,7 +101,7 @@
     def send_version(self, document: Document) -> None:
         """Send a version, as fast as the router reads it."""
         header = document.header
-        self.queue.append(control.version(write_header(header), document.lines, str(header.id)))
+        self.queue.append(control.encode_version(write_header(header), document.lines, str(header.id)))
         transport: Any = self.transport
         if not self.is_producing and transport is not None:
             self.is_producing = True
@@ -126,7 +126,7 @@
     def send_comment(self) -> None:
         """Send a comment to keep the stream alive, unless a version is being sent."""
         if not self.is_producing:
-            self.write(control.comment())
+            self.write(control.encode_keep_alive())
 
 
 class VersionService(Factory):
--- a/astertrack/wire/control.py
+++ b/astertrack/wire/control.py
@@ -18,43 +18,43 @@
 from astertrack.wire import http, sse
 from astertrack.wire.common import Malformed
 
-EVENT_MOST = 256 * 1024  # octets of one event
-PIECE_MOST = 8 * 1024  # octets of records in one event that we send: one is read in under 2 ms
-VERSIONS, STATUS = "/versions", "/status"
+MAX_EVENT_BYTES = 256 * 1024  # octets of one event
+RECORDS_EVENT_BYTES = 8 * 1024  # octets of records in one event that we send: one is read in under 2 ms
+VERSIONS_PATH, STATUS_PATH = "/versions", "/status"
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class VersionHead:
     """A version begins."""
 
     raw: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Lines:
+class VersionRecords:
     """Some of its records."""
 
     lines: list[bytes]
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class VersionEnd:
     """It is whole."""
 
 
-Event = Head | Lines | End | Malformed
+Event = VersionHead | VersionRecords | VersionEnd | Malformed
 
 
-class Stream:
+class VersionStreamDecoder:
     """What a router reads from the service on one connection."""
 
     def __init__(self) -> None:
-        self._events = sse.Client(EVENT_MOST, any_id=True)
+        self._events = sse.EventDecoder(MAX_EVENT_BYTES, accepts_any_id=True)
 
     @property
-    def ended(self) -> bool:
+    def is_ended(self) -> bool:
         """Whether nothing more can come."""
-        return self._events.ended
+        return self._events.is_ended
 
     def receive(self, data: bytes) -> list[Event]:
         """Take bytes; return what they complete. Events of unknown names are passed over."""
@@ -63,21 +63,22 @@
             if isinstance(event, Malformed):
                 found.append(event)
             elif event.name == "version":
-                found.append(Head(event.data.encode()))
+                found.append(VersionHead(event.data.encode()))
             elif event.name == "records":
-                found.append(Lines(event.data.encode().split(b"\n")))
+                found.append(VersionRecords(event.data.encode().split(b"\n")))
             elif event.name == "end":
-                found.append(End())
+                found.append(VersionEnd())
         return found
 
 
-def ask(host: str, router: str, after: str, full: bool) -> bytes:
+def encode_stream_request(host: str, router: str, after: str, full: bool) -> bytes:
     """The request for the versions after one."""
-    return sse.get(f"{VERSIONS}?router={quote(router, safe='')}{'&full=1' if full else ''}", host, after)
+    return sse.encode_request(
+        f"{VERSIONS_PATH}?router={quote(router, safe='')}{'&full=1' if full else ''}", host, after)
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class StreamRequest:
     """What a router asks of the service."""
 
     router: str
@@ -85,31 +86,32 @@
     full: bool
 
 
-def read_ask(message: http.Message) -> Asked | None:
+def parse_stream_request(message: http.Message) -> StreamRequest | None:
     """Read a router's request for versions; None: it is none."""
     parts = urlsplit(message.target)
-    if message.method != "GET" or parts.path != VERSIONS:
+    if message.method != "GET" or parts.path != VERSIONS_PATH:
         return None
     query = parse_qs(parts.query)
-    return Asked(query.get("router", [""])[0], message.headers.get("last-event-id", ""), query.get("full") == ["1"])
+    return StreamRequest(
+        query.get("router", [""])[0], message.headers.get("last-event-id", ""), query.get("full") == ["1"])
 
 
-def version(head: bytes, lines: Iterator[bytes] | list[bytes] | tuple[bytes, ...], id: str) -> Iterator[bytes]:
+def encode_version(head: bytes, lines: Iterator[bytes] | list[bytes] | tuple[bytes, ...], id: str) -> Iterator[bytes]:
     """Yield the events of one version."""
-    yield sse.encode("version", (head,))
+    yield sse.encode_event("version", (head,))
     piece: list[bytes] = []
     size = 0
     for line in lines:
         piece.append(line)
         size += len(line)
-        if size >= PIECE_MOST:
-            yield sse.encode("records", piece)
+        if size >= RECORDS_EVENT_BYTES:
+            yield sse.encode_event("records", piece)
             piece, size = [], 0
     if piece:
-        yield sse.encode("records", piece)
-    yield sse.encode("end", (b"{}",), id)
+        yield sse.encode_event("records", piece)
+    yield sse.encode_event("end", (b"{}",), id)
 
 
-def comment() -> bytes:
+def encode_keep_alive() -> bytes:
     """A sign of life."""
     return b": \n\n"
--- a/astertrack/wire/http.py
+++ b/astertrack/wire/http.py
@@ -10,10 +10,10 @@
 
 from astertrack.wire.common import Malformed, MalformedError, parse_integer, take_http_head
 
-BODY_MOST = 512 * 1024  # octets of a body: a batch of reports has under 128 KiB
+MAX_BODY_BYTES = 512 * 1024  # octets of a body: a batch of reports has under 128 KiB
 
 
-class Kind(Enum):
+class MessageKind(Enum):
     """What a reader waits for."""
 
     REQUEST = "request"
@@ -31,18 +31,18 @@
     body: bytes = b""
 
 
-class Reader:
+class MessageDecoder:
     """Cuts one message off what comes on a connection, at any split of the bytes."""
 
-    def __init__(self, kind: Kind, body_most: int = BODY_MOST) -> None:
-        self.kind, self.body_most, self.done = kind, body_most, False
+    def __init__(self, kind: MessageKind, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        self.kind, self.max_body_bytes, self.is_done = kind, max_body_bytes, False
         self._buffer = bytearray()
         self._head: Message | None = None
         self._length = 0
 
     def receive(self, data: bytes) -> Message | Malformed | None:
         """Take bytes; return the message once it is whole. What comes after it means nothing."""
-        if self.done:
+        if self.is_done:
             return None
         self._buffer += data
         try:
@@ -55,7 +55,7 @@
         return self._end(replace(self._head, body=bytes(self._buffer[:self._length])))
 
     def _end(self, result: Message | Malformed) -> Message | Malformed:
-        self.done = True
+        self.is_done = True
         self._buffer.clear()
         return result
 
@@ -73,9 +73,9 @@
                 raise MalformedError("two Content-Lengths that differ")
         if "transfer-encoding" in headers:
             raise MalformedError("a body without a length")
-        self._length = parse_integer(headers.get("content-length", "0"), "Content-Length", 0, self.body_most)
+        self._length = parse_integer(headers.get("content-length", "0"), "Content-Length", 0, self.max_body_bytes)
         words = first.split(" ", 2)
-        if self.kind is Kind.REQUEST:
+        if self.kind is MessageKind.REQUEST:
             if len(words) != 3 or not words[0].isalpha() or not words[1].startswith("/") or words[2] != "HTTP/1.1":
                 raise MalformedError("not a request")
             self._head = Message(words[0], words[1], 0, headers)
@@ -86,19 +86,19 @@
         return True
 
 
-def request(method: str, target: str, host: str, body: bytes = b"", kind: str = "application/json") -> bytes:
+def encode_request(method: str, target: str, host: str, body: bytes = b"", kind: str = "application/json") -> bytes:
     """Put a request together, after which the connection closes."""
     return (f"{method} {target} HTTP/1.1\r\nHost: {host}\r\nContent-Type: {kind}\r\nConnection: close\r\n"
             f"Content-Length: {len(body)}\r\n\r\n").encode() + body
 
 
-def response(status: int, phrase: str, body: bytes = b"", kind: str = "application/json") -> bytes:
+def encode_response(status: int, phrase: str, body: bytes = b"", kind: str = "application/json") -> bytes:
     """Put a response together, after which the connection closes."""
     return (f"HTTP/1.1 {status} {phrase}\r\nContent-Type: {kind}\r\nConnection: close\r\n"
             f"Content-Length: {len(body)}\r\n\r\n").encode() + body
 
 
-def stream() -> bytes:
+def encode_stream_head() -> bytes:
     """Put the head of a stream of server-sent events together, which lasts until the connection ends."""
     return (b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n"
             b"Connection: close\r\n\r\n")
--- a/astertrack/wire/sse.py
+++ b/astertrack/wire/sse.py
@@ -14,7 +14,7 @@
     take_http_head,
 )
 
-LIST_LIMIT = 64 * MAX_MESSAGE_BYTES  # octets of one event: the first holds the whole list
+MAX_LIST_EVENT_BYTES = 64 * MAX_MESSAGE_BYTES  # octets of one event: the first holds the whole list
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,29 +26,29 @@
     name: str = "message"
 
 
-def encode(name: str, lines: Iterable[bytes], id: str = "") -> bytes:
+def encode_event(name: str, lines: Iterable[bytes], id: str = "") -> bytes:
     """Put one event together, whose data has these lines."""
     head = f"event: {name}\n".encode() + (f"id: {id}\n".encode() if id else b"")
     return head + b"".join(b"data: " + line + b"\n" for line in lines) + b"\n"
 
 
-def get(path: str, host: str, last_id: str) -> bytes:
+def encode_request(path: str, host: str, last_id: str) -> bytes:
     """The request for the events after last_id."""
     return (f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\n"
             f"Last-Event-ID: {last_id}\r\nCache-Control: no-store\r\n\r\n").encode()
 
 
-class Client:
+class EventDecoder:
     """The events of one response, whether it is sent in chunks or until the connection ends."""
 
-    def __init__(self, limit: int = LIST_LIMIT, any_id: bool = False) -> None:
-        self._any_id = any_id  # whether an id may be something else than a whole number
+    def __init__(self, limit: int = MAX_LIST_EVENT_BYTES, accepts_any_id: bool = False) -> None:
+        self._accepts_any_id = accepts_any_id  # whether an id may be something else than a whole number
         self._limit = limit  # octets of one event
         self._name = "message"
         self._buffer = bytearray()
         self._body = bytearray()
         self._lines = bytearray()
-        self._headed = self._chunked = self.ended = False
+        self._headed = self._chunked = self.is_ended = False
         self._left = -1  # octets of the chunk being read; -1: its length comes next
         self._id = ""
         self._data: list[str] = []
@@ -57,7 +57,7 @@
     def receive(self, data: bytes) -> list[ServerSentEvent | Malformed]:
         """Take bytes; return the events that they complete."""
         events: list[ServerSentEvent | Malformed] = []
-        if self.ended:
+        if self.is_ended:
             return events
         self._buffer += data
         try:
@@ -70,7 +70,7 @@
                 self._buffer.clear()
             self._read(events)
         except MalformedError as wrong:
-            self.ended = True
+            self.is_ended = True
             events.append(Malformed(str(wrong)))
         return events
 
@@ -103,7 +103,7 @@
                 self._left = int(size, 16) + 2  # with the end of line behind it
                 del self._buffer[:end + 2]
                 if self._left == 2:
-                    self.ended = True
+                    self.is_ended = True
                     return
             piece = self._buffer[:self._left]
             self._left -= len(piece)
@@ -127,7 +127,7 @@
             name, _, value = line.partition(":")
             value = value.removeprefix(" ")
             if name == "id":
-                if not self._any_id:
+                if not self._accepts_any_id:
                     parse_integer(value, "id")
                 self._id = value
             elif name == "event":
--- a/benchmarks/config_versions.py
+++ b/benchmarks/config_versions.py
@@ -222,8 +222,9 @@
     async def odd(self) -> None:
         """What is no version at all."""
         self.service.send_raw(self.source.choice([
-            sse.encode("version", (b"{",)), sse.encode("records", (b"x",)), sse.encode("end", (b"",)),
-            sse.encode("whim", (b"x",)), sse.encode("version", (write_header(wrong(1, [], 1).header)[:-9],))]))
+            sse.encode_event("version", (b"{",)), sse.encode_event("records", (b"x",)), sse.encode_event("end", (b"",)),
+            sse.encode_event("whim", (b"x",)),
+            sse.encode_event("version", (write_header(wrong(1, [], 1).header)[:-9],))]))
 
     async def play(self, until: float) -> None:
         """Play steps until an instant; the rare ones each once, in a drawn order among the others."""
--- a/laboratory/control_service.py
+++ b/laboratory/control_service.py
@@ -23,7 +23,7 @@
 def events(document: Document, records: int | None = None, end: bool = True) -> bytes:
     """The bytes of a version: all of them, or those of its first records, or all but its end."""
     lines = document.lines if records is None else document.lines[:records]
-    parts = list(control.version(write_header(document.header), lines, str(document.header.id)))
+    parts = list(control.encode_version(write_header(document.header), lines, str(document.header.id)))
     return b"".join(parts if end and records is None else parts[:-1])
 
 
@@ -40,7 +40,7 @@
 class Stream:
     """One router that listens."""
 
-    asked: control.Asked
+    asked: control.StreamRequest
     writer: asyncio.StreamWriter
     at_us: int
     closed: bool = False
@@ -104,22 +104,22 @@
         while True:
             await asyncio.sleep(0.5)
             if self.comments:
-                self.send_raw(control.comment())
+                self.send_raw(control.encode_keep_alive())
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
-        machine = http.Reader(http.Kind.REQUEST)
+        machine = http.MessageDecoder(http.MessageKind.REQUEST)
         stream = None
         try:
             while data := await reader.read(65536):
                 message = machine.receive(data)
                 if not isinstance(message, http.Message):
                     continue
-                asked = control.read_ask(message)
+                asked = control.parse_stream_request(message)
                 if asked is not None:
                     stream = Stream(asked, writer, time.time_ns() // 1000)
                     self.streams.append(stream)
-                    writer.write(http.stream())
+                    writer.write(http.encode_stream_head())
                     offered = self.catalogue.next_for(asked.after, asked.full) if self.offers else None
                     if offered is not None:
                         writer.write(events(offered))
@@ -138,12 +138,12 @@
     async def _status(self, message: http.Message, writer: asyncio.StreamWriter) -> None:
         self.messages += 1
         if self.answers == "deaf":
-            writer.write(http.response(503, "Service Unavailable"))
+            writer.write(http.encode_response(503, "Service Unavailable"))
         else:
             now = time.time_ns() // 1000
             self.heard += [Heard(now, report) for report in self.ledger.hear(read_reports(message.body))]
             if self.answers == "hear":
-                writer.write(http.response(204, "No Content"))
+                writer.write(http.encode_response(204, "No Content"))
         with contextlib.suppress(ConnectionError):
             await writer.drain()
 
@@ -187,7 +187,7 @@
 def endless(octets: int) -> Iterable[bytes]:
     """A version that claims to be small and does not end: so many octets of records."""
     sound = wrong(1, [b'{"kind":"exchange","number":1}'])
-    yield sse.encode("version", (write_header(sound.header),))
-    record = sse.encode("records", [b'{"kind":"exchange","number":1}'] * 500)
+    yield sse.encode_event("version", (write_header(sound.header),))
+    record = sse.encode_event("records", [b'{"kind":"exchange","number":1}'] * 500)
     for _ in range(octets // len(record) + 1):
         yield record
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -157,7 +157,7 @@
             await until(lambda: len(service.streams) == 2 and len(service.open) == 1)
             for data in endless(3_000_000):
                 service.send_raw(data)
-            service.send_raw(sse.encode("end", (b"{}",)))
+            service.send_raw(sse.encode_event("end", (b"{}",)))
             await until(lambda: service.reasons(VersionId(1, 1)) == ["length"])
             assert (await place_call(sip, "good-1", dest=1))[1].status == 200
             await until(lambda: len(service.open) == 1)  # it has redialled and requested a full version
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -41,7 +41,7 @@
     for start in (b"", b"INVITE sip:1@net SIP/2.0\r\n", b"\x00\x20\x0c", b"HTTP/1.1 200 OK\r\n\r\ndata: "):
         check_any_split(lambda: sip.ServerConnection().receive, start + noise, cuts)
         check_any_split(lambda: peer.MessageDecoder().receive, start + noise, cuts)
-        check_any_split(lambda: sse.Client().receive, start + noise, cuts)
+        check_any_split(lambda: sse.EventDecoder().receive, start + noise, cuts)
 
 
 @pytest.mark.parametrize("raw", [
@@ -120,7 +120,7 @@
         pieces = [body[at:at + size] for at in range(0, len(body), size)]
         body = b"".join(b"%x\r\n%s\r\n" % (len(piece), piece) for piece in pieces)
     head = b"HTTP/1.1 200 OK\r\n" + (b"Transfer-Encoding: chunked\r\n" if chunked else b"") + b"\r\n"
-    events = check_any_split(lambda: sse.Client().receive, head + body, cuts)
+    events = check_any_split(lambda: sse.EventDecoder().receive, head + body, cuts)
     assert events == [sse.ServerSentEvent(str(at), data) for at, data in told]
 
 
@@ -128,7 +128,7 @@
                                  b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
                                  b"y" * (MAX_MESSAGE_BYTES + 1)])
 def test_a_bulletin_that_cannot_be_read_is_said_once(raw: bytes) -> None:
-    assert [type(event) for event in feed(sse.Client().receive, raw)] == [Malformed]
+    assert [type(event) for event in feed(sse.EventDecoder().receive, raw)] == [Malformed]
 
 
 def test_whole_numbers_are_plain_digits() -> None:
