--- a/astertrack/wire/__init__.py
+++ b/astertrack/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Wire formats as state machines: bytes in, events and bytes out. Nothing here knows a socket or a clock."""
+"""Sans-I/O codecs of the wire formats: bytes in, events and bytes out. Nothing here uses a socket or a clock."""
--- a/astertrack/wire/callapi.py
+++ b/astertrack/wire/callapi.py
@@ -1,7 +1,7 @@
-"""The messages of the call-control API: JSON objects, one a WebSocket message (docs/call-control.md).
+"""The messages of the call-control API: one JSON object per WebSocket message (docs/call-control.md).
 
-Clients send the requests and servers the rest; a call router is a server towards callers and a client towards
-destinations that speak the same API.
+Clients send the requests, servers the other messages. A call router is a server for callers and a client of
+destinations that use the same API. Fields are encoded under their own names, except service, which is sent as class.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class InvalidMessageError(Exception):
-    """A message that cannot be acted on: the code and reason of the error that answers it."""
+    """A message that cannot be processed, with the code and reason of the error message that answers it."""
 
     def __init__(self, code: str, reason: str, id: str | None = None) -> None:
         super().__init__(reason)
@@ -25,12 +25,12 @@
 
 @dataclass(slots=True)
 class SetUp:
-    """Client: place a call. The deadline is a Unix time in milliseconds."""
+    """Client: place a call. deadline is a Unix time in milliseconds, width the number of circuits."""
 
     id: str
     service: str
     number: str
-    dest: int = -1  # -1: by the routing plan, where there is one
+    dest: int = -1  # -1: determined by the routing plan, if there is one
     deadline: int = 0
     description: str = ""
     width: float = 1.0
@@ -41,14 +41,14 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Client: give up a call that is not answered."""
+    """Client: cancel a call that has not been answered."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Release:
-    """Client: end a call that stands."""
+    """Client: release an established call, with a Q.850 cause."""
 
     id: str
     cause: int = 16
@@ -56,21 +56,21 @@
 
 @dataclass(slots=True)
 class Resume:
-    """Client: say how a call stands, and tell this connection what becomes of it."""
+    """Client: request the state of a call, and its further messages on this connection."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Progress:
-    """Server: the call is in hand."""
+    """Server: the call is being processed."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Answer:
-    """Server, final: the call stands."""
+    """Server, final: the call is established."""
 
     id: str
     description: str = ""
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class Refused:
-    """Server, final: turned away; trying again, with a new id, is harmless after cooldown milliseconds."""
+    """Server, final: the call was refused; it may be tried again under a new id after cooldown milliseconds."""
 
     id: str
     cooldown: int = 0
@@ -95,14 +95,14 @@
 
 @dataclass(slots=True)
 class Cancelled:
-    """Server: the call was given up; no final answer is owed."""
+    """Server: the call was cancelled; no final message follows."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Released:
-    """Server: a call that stood is over."""
+    """Server: an established call was released."""
 
     id: str
     cause: int = 16
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True)
 class State:
-    """Server, destinations only: the group of circuits towards it and its processor's load."""
+    """Server, destinations only: the trunk group towards it and the load of its processor."""
 
     free: float | None = None
     size: float | None = None
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True)
 class Error:
-    """Server: a message could not be acted on."""
+    """Server: a message could not be processed."""
 
     code: str
     reason: str
@@ -133,9 +133,9 @@
 REPLY_TYPES: dict[str, type[Any]] = {
     "progress": Progress, "answer": Answer, "refused": Refused, "failed": Failed, "cancelled": Cancelled,
     "released": Released, "state": State, "error": Error}
-TYPE_NAMES = {kind: name for name, kind in (REQUEST_TYPES | REPLY_TYPES).items()}
-FIELD_NAMES = {"class": "service"}  # the API's word is Python's
-KEY_NAMES = {"service": "class"}
+TYPE_NAMES = {message_type: name for name, message_type in (REQUEST_TYPES | REPLY_TYPES).items()}
+FIELD_NAMES = {"class": "service"}  # by JSON key: the key class is a keyword of Python
+KEY_NAMES = {"service": "class"}  # by field
 MAX_TEXT_LENGTHS = {"number": 128, "service": 64, "code": 64, "reason": 512, "description": MAX_MESSAGE_BYTES}
 INTEGER_RANGES = {"dest": (-1, 2**31), "deadline": (0, 2**53), "via": (-1, 2**31), "cooldown": (0, 2**31),
          "cause": (1, 127)}
@@ -145,63 +145,63 @@
     SetUp: ("id", "service", "number", "deadline"), Error: ("code", "reason"), State: ()}
 
 
-def _value(name: str, value: object, call: str | None) -> object:
-    """Check one field's value."""
-    told, good = KEY_NAMES.get(name, name), False
+def _check_value(name: str, value: object, call: str | None) -> object:
+    """Return the value if the field may have it; raises InvalidMessageError if not."""
+    key, is_valid = KEY_NAMES.get(name, name), False
     if name == "id":
-        good = isinstance(value, str) and CALL_ID_PATTERN.fullmatch(value) is not None
+        is_valid = isinstance(value, str) and CALL_ID_PATTERN.fullmatch(value) is not None
     elif name in BOOLEAN_FIELDS:
-        good = isinstance(value, bool)
+        is_valid = isinstance(value, bool)
     elif name in MAX_TEXT_LENGTHS:
-        good = isinstance(value, str) and len(value) <= MAX_TEXT_LENGTHS[name] and (
+        is_valid = isinstance(value, str) and len(value) <= MAX_TEXT_LENGTHS[name] and (
             name == "description" or value.isprintable())
     elif isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-        good = False
+        is_valid = False
     elif name in INTEGER_RANGES:
-        good = isinstance(value, int) and INTEGER_RANGES[name][0] <= value <= INTEGER_RANGES[name][1]
+        is_valid = isinstance(value, int) and INTEGER_RANGES[name][0] <= value <= INTEGER_RANGES[name][1]
     else:
-        good = NUMBER_RANGES[name][0] <= value <= NUMBER_RANGES[name][1]
-    if not good:
-        raise InvalidMessageError("bad-field", f"field {told} has no value that can be used", call)
+        is_valid = NUMBER_RANGES[name][0] <= value <= NUMBER_RANGES[name][1]
+    if not is_valid:
+        raise InvalidMessageError("bad-field", f"field {key} has an invalid value", call)
     return value
 
 
-def _read(raw: str, kinds: dict[str, type[Any]]) -> Any:
+def _decode(raw: str, message_types: dict[str, type[Any]]) -> Any:
     try:
         message = json.loads(raw)
     except (ValueError, RecursionError):
         raise InvalidMessageError("bad-json", "not JSON") from None
     if not isinstance(message, dict):
         raise InvalidMessageError("bad-json", "not an object")
-    given = message.get("id")
-    call = given if isinstance(given, str) and CALL_ID_PATTERN.fullmatch(given) else None
+    raw_id = message.get("id")
+    call = raw_id if isinstance(raw_id, str) and CALL_ID_PATTERN.fullmatch(raw_id) else None
     name: Any = message.get("type")
-    kind: Any = kinds.get(name) if isinstance(name, str) else None
-    if kind is None:
+    message_type: Any = message_types.get(name) if isinstance(name, str) else None
+    if message_type is None:
         raise InvalidMessageError("unknown-type", "no such type of message", call)
     fields: dict[str, Any] = {FIELD_NAMES.get(str(key), str(key)): value for key, value in message.items()}
-    known = kind.__dataclass_fields__
-    values = {key: _value(key, value, call) for key, value in fields.items()
-              if key in known and value is not None}
-    for field in REQUIRED_FIELDS.get(kind, ("id",)):
+    known_fields = message_type.__dataclass_fields__
+    values = {key: _check_value(key, value, call) for key, value in fields.items()
+              if key in known_fields and value is not None}
+    for field in REQUIRED_FIELDS.get(message_type, ("id",)):
         if field not in values:
             raise InvalidMessageError("missing-field", f"field {KEY_NAMES.get(field, field)} is missing", call)
-    return kind(**values)
+    return message_type(**values)
 
 
 def decode_request(raw: str) -> Request:
-    """Read what a client sent, or raise a BadMessage. Fields that are not known are passed over."""
-    message: Request = _read(raw, REQUEST_TYPES)
+    """Decode a client's message; unknown fields are ignored. Raises InvalidMessageError."""
+    message: Request = _decode(raw, REQUEST_TYPES)
     return message
 
 
 def decode_reply(raw: str) -> Message:
-    """Read what a server sent, or raise a BadMessage."""
-    message: Message = _read(raw, REPLY_TYPES)
+    """Decode a server's message; unknown fields are ignored. Raises InvalidMessageError."""
+    message: Message = _decode(raw, REPLY_TYPES)
     return message
 
 
 def encode_message(message: Message) -> str:
-    """Put a message into JSON."""
+    """Encode a message as JSON; fields that are None are left out."""
     fields = {KEY_NAMES.get(name, name): value for name, value in asdict(message).items() if value is not None}
     return json.dumps({"type": TYPE_NAMES[type(message)], **fields}, separators=(",", ":"))
--- a/astertrack/wire/common.py
+++ b/astertrack/wire/common.py
@@ -1,4 +1,4 @@
-"""What the state machines share."""
+"""Limits, errors and parsing helpers that the codecs share."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from functools import lru_cache
 from types import MappingProxyType
 
-MAX_MESSAGE_BYTES = 16 * 1024  # octets of one message, on every wire
-DESCRIPTION_HEADROOM_BYTES = 1024  # octets of a message that a description leaves for what goes with it
-MAX_CACHED_FIGURES_CHARS = 256  # characters of the longest text of figures that is remembered
+MAX_MESSAGE_BYTES = 16 * 1024  # of one message, in every protocol
+DESCRIPTION_HEADROOM_BYTES = 1024  # what a description leaves free in a message for the other fields sent with it
+MAX_CACHED_FIGURES_CHARS = 256  # length of the longest text whose parsed figures are cached
 
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """What came cannot be read: the last event of its connection, which is to be closed."""
+    """The input cannot be parsed. It is the last event of its connection, which the caller must close."""
 
     reason: str
 
 
 class MalformedError(Exception):
-    """Raised inside a state machine, which turns it into Malformed."""
+    """Raised inside a codec for input that cannot be parsed; the codec turns it into a Malformed event."""
 
 
 def decode_utf8(raw: bytes | bytearray) -> str:
-    """Decode UTF-8, or say that it is not."""
+    """Decode UTF-8; raises MalformedError for bytes that are not."""
     try:
         return raw.decode("utf-8")
     except UnicodeDecodeError:
@@ -33,7 +33,10 @@
 
 
 def take_http_head(buffer: bytearray) -> list[str] | None:
-    """Cut the head of an HTTP message off a buffer, and return its lines; None: it is not whole yet."""
+    """Remove the head of an HTTP message from the buffer and return its lines, or None while it is incomplete.
+
+    Raises MalformedError for a head above MAX_MESSAGE_BYTES and for one that is not UTF-8.
+    """
     end = buffer.find(b"\r\n\r\n")
     if end > MAX_MESSAGE_BYTES or (end < 0 and len(buffer) > MAX_MESSAGE_BYTES):
         raise MalformedError("head too long")
@@ -44,40 +47,45 @@
     return lines
 
 
-def parse_integer(raw: str, name: str, least: int = 0, most: int = 2**53) -> int:
-    """Read a whole number of plain digits: int() would take signs, spaces and underscores, too."""
+def parse_integer(raw: str, name: str, minimum: int = 0, maximum: int = 2**53) -> int:
+    """Parse an integer of plain ASCII digits; raises MalformedError if it is anything else or out of range.
+
+    int() alone is too lenient: it also takes a plus sign, surrounding spaces and underscores.
+    """
     digits = raw.removeprefix("-")
-    if not digits.isascii() or not digits.isdigit() or len(digits) > 16 or not least <= int(raw) <= most:
-        raise MalformedError(f"{name}: not a whole number from {least} to {most}")
+    if not digits.isascii() or not digits.isdigit() or len(digits) > 16 or not minimum <= int(raw) <= maximum:
+        raise MalformedError(f"{name}: not an integer from {minimum} to {maximum}")
     return int(raw)
 
 
-def _figures(raw: str) -> tuple[Mapping[str, float], bool]:
-    read: dict[str, float] = {}
-    sound = True
+def _parse_figures(raw: str) -> tuple[Mapping[str, float], bool]:
+    """Parse the figures; the flag is False if any was left out."""
+    parsed: dict[str, float] = {}
+    is_valid = True
     for part in raw.split(";") if raw else ():
         name, _, value = part.partition(":")
         try:
             number = float(value)
         except ValueError:
             number = math.nan
-        if abs(number) < 1e15 and name.strip() not in read:  # neither infinite nor NaN
-            read[name.strip()] = number
+        if abs(number) < 1e15 and name.strip() not in parsed:  # excludes infinity and NaN
+            parsed[name.strip()] = number
         else:
-            sound = False
-    return MappingProxyType(read), sound
+            is_valid = False
+    return MappingProxyType(parsed), is_valid
 
 
-_remembered = lru_cache(maxsize=2048)(_figures)
+_parse_figures_cached = lru_cache(maxsize=2048)(_parse_figures)
 
 
 def parse_figures(raw: str, strict: bool = False) -> Mapping[str, float]:
-    """Read 'name:value;name:value'; a value that is no finite number is left out or, if strict, unreadable.
+    """Parse 'name:value;name:value' into numbers by name.
 
-    The same few texts come again and again: remembering them saves most of the work. Long ones are not
-    remembered: whoever sends them could fill the memory.
+    A value that is not a finite number, and a name that occurs again, is left out or, if strict, raises
+    MalformedError. Few distinct texts occur, again and again, so caching saves most of the work. Long texts are not
+    cached: a sender could fill the memory with them.
     """
-    read, sound = (_remembered if len(raw) <= MAX_CACHED_FIGURES_CHARS else _figures)(raw)
-    if strict and not sound:
-        raise MalformedError("a figure that is no number, or comes twice")
-    return read
+    parsed, is_valid = (_parse_figures_cached if len(raw) <= MAX_CACHED_FIGURES_CHARS else _parse_figures)(raw)
+    if strict and not is_valid:
+        raise MalformedError("a figure is not a finite number or occurs twice")
+    return parsed
--- a/astertrack/wire/peer.py
+++ b/astertrack/wire/peer.py
@@ -1,7 +1,8 @@
-"""The binary messages between call routers and peers.
+"""The binary protocol between call routers and peers.
 
-message = length:2 type:1 call:8 parameters, parameter = code:1 length:2 value; big-endian. Stream serves
-either end; read_event tells what a peer's message means.
+message = length:2 type:1 call:8 parameters, parameter = code:1 length:2 value; sizes are in bytes, integers are
+big-endian, and a message's length does not count its own two bytes. MessageDecoder serves both ends; parse_event
+interprets the messages of a peer.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class MessageType(IntEnum):
-    """Types of message."""
+    """Message types."""
 
     SET_UP = 1
     PROGRESS = 6
@@ -27,7 +28,7 @@
 
 
 class Parameter(IntEnum):
-    """Codes of parameters."""
+    """Parameter codes."""
 
     CLASS = 1
     WAIT = 3
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """One message; call is 16 hex digits."""
+    """One message; call is an id of 16 hexadecimal digits."""
 
     type: int
     call: str
@@ -48,7 +49,7 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Put a message together."""
+    """Encode a message; raises ValueError if it is longer than MAX_MESSAGE_BYTES."""
     body = bytearray((message.type,)) + bytes.fromhex(message.call)
     for code, value in message.parameters.items():
         body += struct.pack(">BH", code, len(value)) + value
@@ -58,7 +59,7 @@
 
 
 class MessageDecoder:
-    """Cuts what comes on one connection into messages, at any split of the bytes."""
+    """Splits the bytes of one connection into messages, in whatever pieces they arrive."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -66,55 +67,55 @@
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether the beginning of a message has been received and its end has not."""
         return bool(self._buffer)
 
     def receive(self, data: bytes) -> list[Message | Malformed]:
-        """Take bytes; return the messages that they complete."""
+        """Add received bytes and return the messages that they complete; after Malformed nothing more is returned."""
         events: list[Message | Malformed] = []
         if self.has_failed:
             return events
         self._buffer += data
-        at = 0
+        offset = 0
         try:
-            while len(self._buffer) - at >= 2:
-                length = int.from_bytes(self._buffer[at:at + 2])
+            while len(self._buffer) - offset >= 2:
+                length = int.from_bytes(self._buffer[offset:offset + 2])
                 if length + 2 > MAX_MESSAGE_BYTES:
                     raise MalformedError("message too long")
                 if length < 9:
                     raise MalformedError("message too short")
-                if len(self._buffer) - at < 2 + length:
+                if len(self._buffer) - offset < 2 + length:
                     break
-                events.append(self._message(bytes(self._buffer[at + 2:at + 2 + length])))
-                at += 2 + length
-        except MalformedError as wrong:
+                events.append(self._parse_message(bytes(self._buffer[offset + 2:offset + 2 + length])))
+                offset += 2 + length
+        except MalformedError as error:
             self.has_failed = True
             self._buffer.clear()
-            events.append(Malformed(str(wrong)))
-        del self._buffer[:at]
+            events.append(Malformed(str(error)))
+        del self._buffer[:offset]
         return events
 
     @staticmethod
-    def _message(body: bytes) -> Message:
+    def _parse_message(body: bytes) -> Message:
         parameters: dict[int, bytes] = {}
-        at = 9
-        while at < len(body):
-            if at + 3 > len(body):
-                raise MalformedError("a parameter that is cut off")
-            code, length = struct.unpack_from(">BH", body, at)
-            at += 3
-            if at + length > len(body):
-                raise MalformedError("a parameter longer than its message")
+        offset = 9
+        while offset < len(body):
+            if offset + 3 > len(body):
+                raise MalformedError("the head of a parameter is cut off")
+            code, length = struct.unpack_from(">BH", body, offset)
+            offset += 3
+            if offset + length > len(body):
+                raise MalformedError("a parameter is longer than its message")
             if code in parameters:
-                raise MalformedError("a parameter that comes twice")
-            parameters[code] = body[at:at + length]
-            at += length
+                raise MalformedError("a parameter occurs twice")
+            parameters[code] = body[offset:offset + length]
+            offset += length
         return Message(body[0], body[1:9].hex(), parameters)
 
 
 @dataclass(slots=True)
 class Answered:
-    """The call stands."""
+    """The call is established."""
 
     call: str
     description: bytes
@@ -122,7 +123,7 @@
 
 @dataclass(slots=True)
 class Released:
-    """An attempt has ended, or a call that stood."""
+    """An attempt has ended, or an established call was released."""
 
     call: str
     cause: int
@@ -132,7 +133,7 @@
 
 @dataclass(slots=True)
 class TestResult:
-    """A test was answered."""
+    """A test was answered; the report gives the peer's load."""
 
     call: str
     passed: bool
@@ -141,7 +142,7 @@
 
 @dataclass(slots=True)
 class GroupState:
-    """The state of the group towards this peer."""
+    """The state of the trunk group towards this peer."""
 
     report: str
 
@@ -150,19 +151,22 @@
 
 
 def parse_event(message: Message) -> Event | None:
-    """Say what a peer's message means; None where it means nothing to a call router."""
+    """Interpret a peer's message; None if its type has no meaning for a call router.
+
+    Raises MalformedError for an unknown type and for a parameter that is missing or invalid.
+    """
     parameters = message.parameters
     report = decode_utf8(parameters.get(Parameter.REPORT, b""))
     cause = parameters.get(Parameter.CAUSE)
     if message.type not in MessageType.__members__.values():
-        raise MalformedError("an unknown type of message")
+        raise MalformedError("unknown message type")
     if message.type == MessageType.ANSWER:
         description = parameters.get(Parameter.DESCRIPTION)
         if description is None or len(description) > MAX_MESSAGE_BYTES - DESCRIPTION_HEADROOM_BYTES:
-            raise MalformedError("an answer without a description that can be passed on")
+            raise MalformedError("the description of an answer is missing or too long to be passed on")
         return Answered(message.call, description)
     if message.type in (MessageType.RELEASE, MessageType.TEST_RESULT) and (cause is None or len(cause) != 1):
-        raise MalformedError("a release or test result without a cause of one byte")
+        raise MalformedError("the cause of a release or test result is not one byte")
     if message.type == MessageType.RELEASE and cause:
         return Released(message.call, cause[0], decode_utf8(parameters.get(Parameter.NOTE, b"")), report)
     if message.type == MessageType.TEST_RESULT and cause:
@@ -173,17 +177,17 @@
 
 
 def encode_set_up(call: str, tier: str, number: str, wait_ms: int, description: bytes) -> bytes:
-    """A set-up."""
+    """Encode a set-up; wait_ms is the time left for an answer."""
     return encode_message(Message(MessageType.SET_UP, call, {
         Parameter.CLASS: tier.encode(), Parameter.WAIT: str(wait_ms).encode(), Parameter.NUMBER: number.encode(),
         Parameter.DESCRIPTION: description}))
 
 
 def encode_release(call: str, cause: int) -> bytes:
-    """The end of a set-up (cause 16) or of a call that stands."""
+    """Encode the release of a pending set-up (cause 16) or of an established call."""
     return encode_message(Message(MessageType.RELEASE, call, {Parameter.CAUSE: bytes((cause,))}))
 
 
 def encode_test(call: str) -> bytes:
-    """A test that asks for a report."""
+    """Encode a test that requests a load report."""
     return encode_message(Message(MessageType.TEST, call, {Parameter.CAUSE: b"\1"}))
--- a/astertrack/wire/sip.py
+++ b/astertrack/wire/sip.py
@@ -1,7 +1,7 @@
-"""The callers' side of the platform's protocol: a small part of SIP over TCP (RFC 3261).
+"""The protocol between callers and a call router: a small subset of SIP over TCP (RFC 3261).
 
-Stream cuts bytes into messages, and serves either end. Server is what a call router knows of one connection
-from callers: which set-ups are open on it, and how to answer them.
+MessageDecoder splits a byte stream into messages and serves both ends. ServerConnection is the call router's end of
+one connection from callers: it tracks the set-ups that are pending on it and encodes the answers.
 """
 
 from __future__ import annotations
@@ -24,13 +24,18 @@
            500: "Server Internal Error", 501: "Not Implemented",
            503: "Service Unavailable"}
 ECHOED_HEADERS = ("via", "from", "to", "call-id", "cseq")
-CONTROL_CHARACTERS = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")  # what no header may hold; a search costs less than a loop
+# One search with this pattern costs less than a loop over the characters.
+CONTROL_CHARACTERS = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")  # not allowed in headers
 CAUSE_PATTERN = re.compile(r"cause\s*=\s*([0-9]{1,3})", re.ASCII)
 
 
 @dataclass(slots=True)
 class Message:
-    """A request (method and uri) or a response (status); header names are lower-case, the first of each."""
+    """A request (method and uri) or a response (status, from 100 to 699).
+
+    The fields of the other kind are empty or 0. Header names are in lower case; of a repeated header, the first
+    value counts.
+    """
 
     method: str
     uri: str
@@ -40,96 +45,96 @@
 
 
 class MessageDecoder:
-    """Cuts what comes on one connection into messages, at any split of the bytes."""
+    """Splits the bytes of one connection into messages, in whatever pieces they arrive."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._scanned = 0
+        self._scanned_bytes = 0
         self.has_failed = False
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether the beginning of a message has been received and its end has not."""
         return bool(self._buffer)
 
     def receive(self, data: bytes) -> list[Message | Malformed]:
-        """Take bytes; return the messages that they complete."""
+        """Add received bytes and return the messages that they complete; after Malformed nothing more is returned."""
         events: list[Message | Malformed] = []
         if self.has_failed:
             return events
         self._buffer += data
         try:
-            while (message := self._next()) is not None:
+            while (message := self._next_message()) is not None:
                 events.append(message)
-        except MalformedError as wrong:
+        except MalformedError as error:
             self.has_failed = True
             self._buffer.clear()
-            events.append(Malformed(str(wrong)))
+            events.append(Malformed(str(error)))
         return events
 
-    def _next(self) -> Message | None:
+    def _next_message(self) -> Message | None:
         while self._buffer[:2] == b"\r\n":  # keep-alives between messages (RFC 5626)
             del self._buffer[:2]
-        end = self._buffer.find(b"\r\n\r\n", max(0, self._scanned - 3))
-        if end < 0:
-            self._scanned = len(self._buffer)
-            if self._scanned > MAX_MESSAGE_BYTES:
+        head_end = self._buffer.find(b"\r\n\r\n", max(0, self._scanned_bytes - 3))
+        if head_end < 0:
+            self._scanned_bytes = len(self._buffer)
+            if self._scanned_bytes > MAX_MESSAGE_BYTES:
                 raise MalformedError("head too long")
             return None
-        if end + 4 > MAX_MESSAGE_BYTES:
+        if head_end + 4 > MAX_MESSAGE_BYTES:
             raise MalformedError("head too long")
-        first, headers = self._head(decode_utf8(self._buffer[:end]))
+        start_line, headers = self._parse_head(decode_utf8(self._buffer[:head_end]))
         length = parse_integer(headers.get("content-length", "missing"), "Content-Length", 0, MAX_MESSAGE_BYTES)
-        if end + 4 + length > MAX_MESSAGE_BYTES:
+        if head_end + 4 + length > MAX_MESSAGE_BYTES:
             raise MalformedError("message too long")
-        if len(self._buffer) < end + 4 + length:
-            self._scanned = end + 3
+        if len(self._buffer) < head_end + 4 + length:
+            self._scanned_bytes = head_end + 3
             return None
-        body = bytes(self._buffer[end + 4:end + 4 + length])
-        del self._buffer[:end + 4 + length]
-        self._scanned = 0
-        return self._message(first, headers, body)
+        body = bytes(self._buffer[head_end + 4:head_end + 4 + length])
+        del self._buffer[:head_end + 4 + length]
+        self._scanned_bytes = 0
+        return self._make_message(start_line, headers, body)
 
     @staticmethod
-    def _head(head: str) -> tuple[str, dict[str, str]]:
-        first, *lines = head.split("\r\n")
+    def _parse_head(head: str) -> tuple[str, dict[str, str]]:
+        start_line, *lines = head.split("\r\n")
         if CONTROL_CHARACTERS.search(head.replace("\r\n", "")):
-            raise MalformedError("control characters in a head")
+            raise MalformedError("control characters in the head")
         headers: dict[str, str] = {}
-        last = ""
+        last_name = ""
         for line in lines:
-            if line[:1] in (" ", "\t"):  # a folded line goes on with the one before
-                if not last:
-                    raise MalformedError("a folded line with nothing before it")
-                headers[last] += " " + line.strip()
+            if line[:1] in (" ", "\t"):  # a folded line continues the header before it
+                if not last_name:
+                    raise MalformedError("a folded line without a header before it")
+                headers[last_name] += " " + line.strip()
                 continue
             name, colon, value = line.partition(":")
-            last, value = name.rstrip().lower(), value.strip()
-            if not colon or not last:
-                raise MalformedError("a header without a name")
-            if headers.setdefault(last, value) != value and last == "content-length":
-                raise MalformedError("two Content-Lengths that differ")
-        return first, headers
+            last_name, value = name.rstrip().lower(), value.strip()
+            if not colon or not last_name:
+                raise MalformedError("a header line without a name")
+            if headers.setdefault(last_name, value) != value and last_name == "content-length":
+                raise MalformedError("Content-Length headers that differ")
+        return start_line, headers
 
     @staticmethod
-    def _message(first: str, headers: dict[str, str], body: bytes) -> Message:
-        words = first.split(" ", 2)
+    def _make_message(start_line: str, headers: dict[str, str], body: bytes) -> Message:
+        words = start_line.split(" ", 2)
         if words[0] == "SIP/2.0" and len(words) >= 2:
             return Message("", "", parse_integer(words[1], "status", 100, 699), headers, body)
         if len(words) != 3 or words[2] != "SIP/2.0" or not words[0].isalpha() or not words[1]:
-            raise MalformedError("neither a request nor a status line")
+            raise MalformedError("neither a request line nor a status line")
         return Message(words[0], words[1], 0, headers, body)
 
 
-def encode_message(first: str, headers: list[tuple[str, str]], body: bytes = b"") -> bytes:
-    """Put a message together."""
-    lines = [first, *(f"{name}: {value}" for name, value in headers), f"Content-Length: {len(body)}", "", ""]
+def encode_message(start_line: str, headers: list[tuple[str, str]], body: bytes = b"") -> bytes:
+    """Encode a message from its start line, headers and body; Content-Length is added."""
+    lines = [start_line, *(f"{name}: {value}" for name, value in headers), f"Content-Length: {len(body)}", "", ""]
     return "\r\n".join(lines).encode() + body
 
 
 @dataclass(slots=True)
 class SetUp:
-    """A call offered."""
+    """An INVITE: a caller offers a call, and waits wait_ms for the final response."""
 
     call: str
     number: str
@@ -141,14 +146,14 @@
 
 @dataclass(slots=True)
 class CallCancelled:
-    """The caller gives up a set-up."""
+    """A CANCEL: the caller cancels a set-up."""
 
     call: str
 
 
 @dataclass(slots=True)
 class CallReleased:
-    """The caller releases a call that stands."""
+    """A BYE: the caller releases an established call, with a Q.850 cause."""
 
     call: str
     cause: int
@@ -156,14 +161,14 @@
 
 @dataclass(slots=True)
 class Acknowledged:
-    """The caller has seen the final answer."""
+    """An ACK: the caller has received the final response."""
 
     call: str
 
 
 @dataclass(slots=True)
 class ReleaseConfirmed:
-    """The caller has heard our release of a call."""
+    """A response to our BYE: the caller has received the release of a call."""
 
     call: str
 
@@ -173,7 +178,7 @@
 
 @dataclass(slots=True)
 class PendingInvite:
-    """A set-up that is not answered: the headers that its answer echoes, and what tells it from another."""
+    """An INVITE without a final response: the headers that the response echoes, and what identifies the INVITE."""
 
     headers: dict[str, str]
     uri: str
@@ -182,50 +187,53 @@
 
 @dataclass(slots=True)
 class ServerConnection:
-    """One connection from callers: bytes in by receive, bytes out by take."""
+    """The call router's end of one connection from callers: receive takes bytes, take_output returns bytes."""
 
-    pending_invites: dict[str, PendingInvite] = field(default_factory=dict)  # set-ups not answered, by call
-    message_count: int = 0  # whole ones that came
-    _stream: MessageDecoder = field(default_factory=MessageDecoder)
-    _out: bytearray = field(default_factory=bytearray)
+    pending_invites: dict[str, PendingInvite] = field(default_factory=dict)  # by call id
+    message_count: int = 0  # complete messages received
+    _decoder: MessageDecoder = field(default_factory=MessageDecoder)
+    _output: bytearray = field(default_factory=bytearray)
 
     def take_output(self) -> bytes:
-        """Return what is to be written, once."""
-        out = bytes(self._out)
-        self._out.clear()
-        return out
+        """Return the bytes to write and forget them."""
+        output = bytes(self._output)
+        self._output.clear()
+        return output
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a message has begun and not ended."""
-        return self._stream.has_partial_message
+        """Whether the beginning of a message has been received and its end has not."""
+        return self._decoder.has_partial_message
 
     def receive(self, data: bytes) -> list[Event]:
-        """Take bytes; return what the callers did. Tests, and what cannot be read, are answered here."""
+        """Add received bytes and return the callers' events.
+
+        OPTIONS, CANCEL, BYE, methods that are not implemented and malformed messages are answered here.
+        """
         events: list[Event] = []
-        for message in self._stream.receive(data):
+        for message in self._decoder.receive(data):
             if isinstance(message, Malformed):
                 self._respond({}, 400)
                 events.append(message)
                 continue
             self.message_count += 1
             try:
-                event = self._event(message)
-            except MalformedError as wrong:
-                self._stream.has_failed = True
-                if message.headers.get("call-id", "") not in self.pending_invites:  # else its own answer is still owed
+                event = self._handle_message(message)
+            except MalformedError as error:
+                self._decoder.has_failed = True
+                if message.headers.get("call-id", "") not in self.pending_invites:  # those get their own response
                     self._respond(message.headers, 400)
-                events.append(Malformed(str(wrong)))
+                events.append(Malformed(str(error)))
                 break
             if event is not None:
                 events.append(event)
         return events
 
-    def _event(self, message: Message) -> Event | None:
+    def _handle_message(self, message: Message) -> Event | None:
         if message.status:
             call = message.headers.get("call-id", "")
-            ours = message.status < 300 and message.headers.get("cseq", "").endswith("BYE")
-            return ReleaseConfirmed(call) if ours else None
+            confirms_bye = message.status < 300 and message.headers.get("cseq", "").endswith("BYE")
+            return ReleaseConfirmed(call) if confirms_bye else None
         if message.method == "OPTIONS":
             self._respond(message.headers, 200)
             return None
@@ -235,7 +243,7 @@
         if not CALL_ID_PATTERN.fullmatch(call):
             raise MalformedError("Call-ID: not 16 hex digits")
         if message.method == "INVITE":
-            return self._invite(call, message)
+            return self._handle_invite(call, message)
         if message.method == "CANCEL":
             self._respond(message.headers, 200)
             return CallCancelled(call)
@@ -248,48 +256,49 @@
         self._respond(message.headers, 501)
         return None
 
-    def _invite(self, call: str, message: Message) -> Event | None:
+    def _handle_invite(self, call: str, message: Message) -> Event | None:
         scheme, _, address = message.uri.partition(":")
         if scheme != "sip":
-            raise MalformedError("not a sip: address")
-        wait = parse_integer(message.headers.get("x-deadline", "missing"), "X-Deadline", 0, 10**9)
-        if (offer := self.pending_invites.get(call)) is not None:
-            if offer.uri != message.uri or offer.body != message.body:
-                raise MalformedError("the id of an open set-up with another description")
-            return None  # the same set-up again on the same connection: its answer is still to come
+            raise MalformedError("the address is not a sip: URI")
+        wait_ms = parse_integer(message.headers.get("x-deadline", "missing"), "X-Deadline", 0, 10**9)
+        if (invite := self.pending_invites.get(call)) is not None:
+            if invite.uri != message.uri or invite.body != message.body:
+                raise MalformedError("the id of a pending set-up with another address or description")
+            return None  # the INVITE was sent again on the same connection; its response is still to come
         if len(message.body) + len(address) > MAX_MESSAGE_BYTES - DESCRIPTION_HEADROOM_BYTES:
-            raise MalformedError("a set-up too long to be passed on")
+            raise MalformedError("address and description too long to be passed on")
         self.pending_invites[call] = PendingInvite(
             {name: message.headers[name] for name in ECHOED_HEADERS if name in message.headers},
             message.uri, message.body)
-        return SetUp(call, address.partition("@")[0], message.headers.get("x-tier", ""), wait,
+        return SetUp(call, address.partition("@")[0], message.headers.get("x-tier", ""), wait_ms,
                      message.headers.get("x-attrs", ""), message.body)
 
     def answer(self, call: str, description: bytes) -> bool:
-        """Answer a set-up: the call stands. False if it is not open here."""
-        return self._final(call, 200, body=description)
+        """Answer a set-up: the call is established. Returns False if the set-up is not pending here."""
+        return self._send_final(call, 200, body=description)
 
     def refuse(self, call: str, status: int, cooldown_ms: int | None = None) -> bool:
-        """Refuse a set-up, or say that it has failed."""
-        more = [] if cooldown_ms is None else [("X-Cooldown", str(cooldown_ms))]
-        return self._final(call, status, more)
+        """Send a final response other than 200 to a set-up. Returns False if the set-up is not pending here."""
+        extra_headers = [] if cooldown_ms is None else [("X-Cooldown", str(cooldown_ms))]
+        return self._send_final(call, status, extra_headers)
 
     def release(self, call: str, cause: int) -> None:
-        """Release a call that stands, whichever connection it came on."""
-        self._out += encode_message(f"BYE sip:{call}@net SIP/2.0", [
+        """Send a BYE for an established call, whichever connection its INVITE arrived on."""
+        self._output += encode_message(f"BYE sip:{call}@net SIP/2.0", [
             ("Via", "SIP/2.0/TCP router"), ("Call-ID", call), ("CSeq", "2 BYE"),
             ("Reason", f"Q.850;cause={cause}")])
 
-    def _final(self, call: str, status: int, more: list[tuple[str, str]] | None = None,
-               body: bytes = b"") -> bool:
-        offer = self.pending_invites.pop(call, None)
-        if offer is None:
+    def _send_final(self, call: str, status: int, extra_headers: list[tuple[str, str]] | None = None,
+                    body: bytes = b"") -> bool:
+        invite = self.pending_invites.pop(call, None)
+        if invite is None:
             return False
-        self._respond(offer.headers, status, more, body)
+        self._respond(invite.headers, status, extra_headers, body)
         return True
 
-    def _respond(self, headers: dict[str, str], status: int, more: list[tuple[str, str]] | None = None,
+    def _respond(self, headers: dict[str, str], status: int, extra_headers: list[tuple[str, str]] | None = None,
                  body: bytes = b"") -> None:
         names = {"via": "Via", "from": "From", "to": "To", "call-id": "Call-ID", "cseq": "CSeq"}
         echoed = [(names[name], headers[name]) for name in ECHOED_HEADERS if name in headers]
-        self._out += encode_message(f"SIP/2.0 {status} {REASON_PHRASES[status]}", echoed + (more or []), body)
+        self._output += encode_message(
+            f"SIP/2.0 {status} {REASON_PHRASES[status]}", echoed + (extra_headers or []), body)
