--- a/astertrack/wire/control.py
+++ b/astertrack/wire/control.py
@@ -1,12 +1,12 @@
-"""The control wire: versions of the plan as server-sent events, and status by POST (docs/config-versions.md).
+"""The protocol of the control service: plan versions as server-sent events, status by POST (docs/config-versions.md).
 
-    GET /versions?router=NAME[&full=1]      Last-Event-ID: EPOCH.NUMBER, the latest version accepted, or nothing
-    event: version   data: the head, a JSON object
-    event: records   data: one record a line, some hundreds an event
+    GET /versions?router=NAME[&full=1]      Last-Event-ID: EPOCH.NUMBER of the latest accepted version, or empty
+    event: version   data: the version's header, a JSON object
+    event: records   data: one record per line, some hundreds per event
     event: end       id: EPOCH.NUMBER
-    POST /status     a JSON array of reports; 204 once they are heard
+    POST /status     a JSON array of reports; answered with 204 once they are processed
 
-A comment comes at least every second, so that a stream that is open and dead is told from one that has no news.
+The service sends a comment at least every second, so that a dead connection can be told from one without new versions.
 """
 
 from __future__ import annotations
@@ -18,68 +18,68 @@
 from astertrack.wire import http, sse
 from astertrack.wire.common import Malformed
 
-MAX_EVENT_BYTES = 256 * 1024  # octets of one event
-RECORDS_EVENT_BYTES = 8 * 1024  # octets of records in one event that we send: one is read in under 2 ms
+MAX_EVENT_BYTES = 256 * 1024  # of one received event
+RECORDS_EVENT_BYTES = 8 * 1024  # an event is sent once its records have this size: one is parsed in under 2 ms
 VERSIONS_PATH, STATUS_PATH = "/versions", "/status"
 
 
 @dataclass(frozen=True, slots=True)
 class VersionHead:
-    """A version begins."""
+    """The header of a version, which begins it, as JSON."""
 
     raw: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class VersionRecords:
-    """Some of its records."""
+    """Some of the version's records, each one line."""
 
     lines: list[bytes]
 
 
 @dataclass(frozen=True, slots=True)
 class VersionEnd:
-    """It is whole."""
+    """The version is complete."""
 
 
 Event = VersionHead | VersionRecords | VersionEnd | Malformed
 
 
 class VersionStreamDecoder:
-    """What a router reads from the service on one connection."""
+    """Decodes what a router receives from the control service on one connection."""
 
     def __init__(self) -> None:
-        self._events = sse.EventDecoder(MAX_EVENT_BYTES, accepts_any_id=True)
+        self._decoder = sse.EventDecoder(MAX_EVENT_BYTES, accepts_any_id=True)
 
     @property
     def is_ended(self) -> bool:
-        """Whether nothing more can come."""
-        return self._events.is_ended
+        """Whether no more events can come: the response has ended or was malformed."""
+        return self._decoder.is_ended
 
     def receive(self, data: bytes) -> list[Event]:
-        """Take bytes; return what they complete. Events of unknown names are passed over."""
-        found: list[Event] = []
-        for event in self._events.receive(data):
+        """Add received bytes and return the events that they complete; events with unknown names are ignored."""
+        events: list[Event] = []
+        for event in self._decoder.receive(data):
             if isinstance(event, Malformed):
-                found.append(event)
+                events.append(event)
             elif event.name == "version":
-                found.append(VersionHead(event.data.encode()))
+                events.append(VersionHead(event.data.encode()))
             elif event.name == "records":
-                found.append(VersionRecords(event.data.encode().split(b"\n")))
+                events.append(VersionRecords(event.data.encode().split(b"\n")))
             elif event.name == "end":
-                found.append(VersionEnd())
-        return found
+                events.append(VersionEnd())
+        return events
 
 
 def encode_stream_request(host: str, router: str, after: str, full: bool) -> bytes:
-    """The request for the versions after one."""
+    """Encode the request for the versions after one (EPOCH.NUMBER, or empty); full asks for a full version."""
     return sse.encode_request(
         f"{VERSIONS_PATH}?router={quote(router, safe='')}{'&full=1' if full else ''}", host, after)
 
 
 @dataclass(frozen=True, slots=True)
 class StreamRequest:
-    """What a router asks of the service."""
+    """A router's request for the stream of versions."""
 
     router: str
     after: str
@@ -87,7 +87,7 @@
 
 
 def parse_stream_request(message: http.Message) -> StreamRequest | None:
-    """Read a router's request for versions; None: it is none."""
+    """Parse a router's request for versions; None if the message is a different request."""
     parts = urlsplit(message.target)
     if message.method != "GET" or parts.path != VERSIONS_PATH:
         return None
@@ -97,21 +97,21 @@
 
 
 def encode_version(head: bytes, lines: Iterator[bytes] | list[bytes] | tuple[bytes, ...], id: str) -> Iterator[bytes]:
-    """Yield the events of one version."""
+    """Yield the encoded events of one version; id is EPOCH.NUMBER."""
     yield sse.encode_event("version", (head,))
-    piece: list[bytes] = []
-    size = 0
+    batch: list[bytes] = []
+    batch_bytes = 0
     for line in lines:
-        piece.append(line)
-        size += len(line)
-        if size >= RECORDS_EVENT_BYTES:
-            yield sse.encode_event("records", piece)
-            piece, size = [], 0
-    if piece:
-        yield sse.encode_event("records", piece)
+        batch.append(line)
+        batch_bytes += len(line)
+        if batch_bytes >= RECORDS_EVENT_BYTES:
+            yield sse.encode_event("records", batch)
+            batch, batch_bytes = [], 0
+    if batch:
+        yield sse.encode_event("records", batch)
     yield sse.encode_event("end", (b"{}",), id)
 
 
 def encode_keep_alive() -> bytes:
-    """A sign of life."""
+    """Encode a comment, which only shows that the connection is alive."""
     return b": \n\n"
--- a/astertrack/wire/http.py
+++ b/astertrack/wire/http.py
@@ -1,6 +1,7 @@
-"""As much of HTTP/1.1 (RFC 9112) as the control wire needs: one request or response a connection, with a length.
+"""The subset of HTTP/1.1 (RFC 9112) that the control service needs: one request or response per connection.
 
-Reader takes either end's message; whoever speaks to a browser or a proxy wants a library instead.
+A body has a Content-Length; transfer codings are not supported. MessageDecoder decodes the messages of both ends. For
+browsers and proxies use a full HTTP library instead.
 """
 
 from __future__ import annotations
@@ -10,11 +11,11 @@
 
 from astertrack.wire.common import Malformed, MalformedError, parse_integer, take_http_head
 
-MAX_BODY_BYTES = 512 * 1024  # octets of a body: a batch of reports has under 128 KiB
+MAX_BODY_BYTES = 512 * 1024  # a batch of reports has under 128 KiB
 
 
 class MessageKind(Enum):
-    """What a reader waits for."""
+    """Which message a decoder expects."""
 
     REQUEST = "request"
     RESPONSE = "response"
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """A request (method and target) or a response (status); header names are lower-case."""
+    """A request (method and target) or a response (status, from 100 to 599); header names are in lower case."""
 
     method: str
     target: str
@@ -32,7 +33,7 @@
 
 
 class MessageDecoder:
-    """Cuts one message off what comes on a connection, at any split of the bytes."""
+    """Decodes the one message of a connection, in whatever pieces its bytes arrive."""
 
     def __init__(self, kind: MessageKind, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.kind, self.max_body_bytes, self.is_done = kind, max_body_bytes, False
@@ -41,43 +42,43 @@
         self._length = 0
 
     def receive(self, data: bytes) -> Message | Malformed | None:
-        """Take bytes; return the message once it is whole. What comes after it means nothing."""
+        """Add received bytes and return the message once it is complete; bytes after it are ignored."""
         if self.is_done:
             return None
         self._buffer += data
         try:
-            if self._head is None and not self._read_head():
+            if self._head is None and not self._parse_head():
                 return None
-        except MalformedError as wrong:
-            return self._end(Malformed(str(wrong)))
+        except MalformedError as error:
+            return self._finish(Malformed(str(error)))
         if len(self._buffer) < self._length or self._head is None:
             return None
-        return self._end(replace(self._head, body=bytes(self._buffer[:self._length])))
+        return self._finish(replace(self._head, body=bytes(self._buffer[:self._length])))
 
-    def _end(self, result: Message | Malformed) -> Message | Malformed:
+    def _finish(self, result: Message | Malformed) -> Message | Malformed:
         self.is_done = True
         self._buffer.clear()
         return result
 
-    def _read_head(self) -> bool:
+    def _parse_head(self) -> bool:
         head = take_http_head(self._buffer)
         if head is None:
             return False
-        first, *lines = head
+        start_line, *lines = head
         headers: dict[str, str] = {}
         for line in lines:
             name, colon, value = line.partition(":")
             if not colon or not name or name != name.strip():
-                raise MalformedError("a header without a name")
+                raise MalformedError("a header line without a name")
             if headers.setdefault(name.lower(), value.strip()) != value.strip() and name.lower() == "content-length":
-                raise MalformedError("two Content-Lengths that differ")
+                raise MalformedError("Content-Length headers that differ")
         if "transfer-encoding" in headers:
-            raise MalformedError("a body without a length")
+            raise MalformedError("a transfer coding instead of a Content-Length")
         self._length = parse_integer(headers.get("content-length", "0"), "Content-Length", 0, self.max_body_bytes)
-        words = first.split(" ", 2)
+        words = start_line.split(" ", 2)
         if self.kind is MessageKind.REQUEST:
             if len(words) != 3 or not words[0].isalpha() or not words[1].startswith("/") or words[2] != "HTTP/1.1":
-                raise MalformedError("not a request")
+                raise MalformedError("not a request line")
             self._head = Message(words[0], words[1], 0, headers)
         else:
             if len(words) < 2 or not words[0].startswith("HTTP/1."):
@@ -86,19 +87,20 @@
         return True
 
 
-def encode_request(method: str, target: str, host: str, body: bytes = b"", kind: str = "application/json") -> bytes:
-    """Put a request together, after which the connection closes."""
-    return (f"{method} {target} HTTP/1.1\r\nHost: {host}\r\nContent-Type: {kind}\r\nConnection: close\r\n"
+def encode_request(method: str, target: str, host: str, body: bytes = b"",
+                   content_type: str = "application/json") -> bytes:
+    """Encode a request; the connection is closed after its response."""
+    return (f"{method} {target} HTTP/1.1\r\nHost: {host}\r\nContent-Type: {content_type}\r\nConnection: close\r\n"
             f"Content-Length: {len(body)}\r\n\r\n").encode() + body
 
 
-def encode_response(status: int, phrase: str, body: bytes = b"", kind: str = "application/json") -> bytes:
-    """Put a response together, after which the connection closes."""
-    return (f"HTTP/1.1 {status} {phrase}\r\nContent-Type: {kind}\r\nConnection: close\r\n"
+def encode_response(status: int, phrase: str, body: bytes = b"", content_type: str = "application/json") -> bytes:
+    """Encode a response, after which the connection is closed."""
+    return (f"HTTP/1.1 {status} {phrase}\r\nContent-Type: {content_type}\r\nConnection: close\r\n"
             f"Content-Length: {len(body)}\r\n\r\n").encode() + body
 
 
 def encode_stream_head() -> bytes:
-    """Put the head of a stream of server-sent events together, which lasts until the connection ends."""
+    """Encode the head of a stream of server-sent events, which lasts until the connection is closed."""
     return (b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n"
             b"Connection: close\r\n\r\n")
