--- a/tests/test_call_front.py
+++ b/tests/test_call_front.py
@@ -8,7 +8,7 @@
 import pytest
 from drivers import FakeClock, FakeTransport
 from test_router import RouterHarness
-from test_websocket_codec import SHAKE, frame
+from test_websocket_codec import HANDSHAKE, frame
 from twisted.internet.task import Clock
 
 from astertrack.net.websocket import CallFront, Session
@@ -21,7 +21,7 @@
     front = CallFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
     session = cast(Any, front.buildProtocol(None))
     session.makeConnection(transport)
-    session.dataReceived(SHAKE)
+    session.dataReceived(HANDSHAKE)
     transport.clear()
     return reactor, session, transport
 
@@ -43,7 +43,8 @@
     assert transport.aborted
 
 
-@pytest.mark.parametrize("received", [b"", SHAKE[:30], SHAKE + b"\x81", SHAKE + frame(0x01, b"{", masked=True)])
+@pytest.mark.parametrize("received", [
+    b"", HANDSHAKE[:30], HANDSHAKE + b"\x81", HANDSHAKE + frame(0x01, b"{", masked=True)])
 def test_a_socket_with_an_incomplete_handshake_or_message_is_closed_in_time(received: bytes) -> None:
     reactor, transport = Clock(), cast(Any, FakeTransport)()
     front = CallFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -1,11 +1,11 @@
-"""The state machines of the wires: any split of the bytes, what is malformed, limits, and round trips."""
+"""The SIP, binary and event-stream codecs: any split of the bytes, malformed input, limits and round trips."""
 
 from __future__ import annotations
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from wires import CALLS, CUTS, check_any_split, feed
+from wires import CALL_IDS, PIECE_LENGTHS, check_any_split, feed
 
 from astertrack.net.peers import parse_load_report
 from astertrack.wire import peer, sip, sse
@@ -19,29 +19,29 @@
         f"INVITE sip:{number}@net SIP/2.0",
         [("Via", "SIP/2.0/TCP peer"), ("Call-ID", call), ("CSeq", "1 INVITE"), ("X-Tier", "voice"),
          ("X-Deadline", str(wait)), ("X-Attrs", "dest:2")], body)),
-    CALLS, TOKENS, st.integers(0, 9000), BODIES)
+    CALL_IDS, TOKENS, st.integers(0, 9000), BODIES)
 
 
 def bye(call: str) -> bytes:
-    """A caller's release."""
+    """A BYE from a caller, with cause 31."""
     return sip.encode_message(f"BYE sip:{call}@net SIP/2.0", [("call-id", call), ("CSeq", "2 BYE"),
                                                       ("Reason", "Q.850;cause=31")])
 
 
-@given(st.lists(INVITES, max_size=4, unique_by=lambda made: made[0].call), CALLS, CUTS)
-def test_sip_messages_come_out_whole_whatever_the_split(made: list[tuple[sip.SetUp, bytes]], call: str,
-                                                       cuts: list[int]) -> None:
-    data = b"\r\n\r\n".join([*(raw for _, raw in made), bye(call)])
-    events = check_any_split(lambda: sip.ServerConnection().receive, data, cuts)
-    assert events == [*(event for event, _ in made), sip.CallReleased(call, 31)]
+@given(st.lists(INVITES, max_size=4, unique_by=lambda invite: invite[0].call), CALL_IDS, PIECE_LENGTHS)
+def test_sip_messages_are_decoded_at_any_split(invites: list[tuple[sip.SetUp, bytes]], call: str,
+                                               piece_lengths: list[int]) -> None:
+    data = b"\r\n\r\n".join([*(raw for _, raw in invites), bye(call)])
+    events = check_any_split(lambda: sip.ServerConnection().receive, data, piece_lengths)
+    assert events == [*(event for event, _ in invites), sip.CallReleased(call, 31)]
 
 
-@given(BODIES, CUTS)
-def test_nothing_that_comes_breaks_a_reader(noise: bytes, cuts: list[int]) -> None:
-    for start in (b"", b"INVITE sip:1@net SIP/2.0\r\n", b"\x00\x20\x0c", b"HTTP/1.1 200 OK\r\n\r\ndata: "):
-        check_any_split(lambda: sip.ServerConnection().receive, start + noise, cuts)
-        check_any_split(lambda: peer.MessageDecoder().receive, start + noise, cuts)
-        check_any_split(lambda: sse.EventDecoder().receive, start + noise, cuts)
+@given(BODIES, PIECE_LENGTHS)
+def test_arbitrary_bytes_raise_nothing_in_a_decoder(noise: bytes, piece_lengths: list[int]) -> None:
+    for prefix in (b"", b"INVITE sip:1@net SIP/2.0\r\n", b"\x00\x20\x0c", b"HTTP/1.1 200 OK\r\n\r\ndata: "):
+        check_any_split(lambda: sip.ServerConnection().receive, prefix + noise, piece_lengths)
+        check_any_split(lambda: peer.MessageDecoder().receive, prefix + noise, piece_lengths)
+        check_any_split(lambda: sse.EventDecoder().receive, prefix + noise, piece_lengths)
 
 
 @pytest.mark.parametrize("raw", [
@@ -59,14 +59,14 @@
     b"BYE sip:\xff@net SIP/2.0\r\nContent-Length: 0\r\n\r\n",
     b"x" * (MAX_MESSAGE_BYTES + 1),
 ])
-def test_malformed_sip_is_said_once_and_ends_the_connection(raw: bytes) -> None:
+def test_malformed_sip_is_reported_once_and_ends_the_connection(raw: bytes) -> None:
     server = sip.ServerConnection()
     events = feed(server.receive, raw + bye("00000000000000bb"))
     assert [type(event) for event in events] == [Malformed]
     assert server.receive(bye("00000000000000bb")) == []
 
 
-def test_sip_answers_echo_what_matches_them_and_come_once() -> None:
+def test_sip_responses_echo_the_identifying_headers_and_are_sent_once() -> None:
     server, call = sip.ServerConnection(), "00000000000000aa"
     server.receive(sip.encode_message("INVITE sip:5@net SIP/2.0", [
         ("Via", "SIP/2.0/TCP peer"), ("From", "a"), ("Call-ID", call), ("CSeq", "1 INVITE"),
@@ -81,21 +81,21 @@
     assert server.take_output() == b""
 
 
-@given(st.lists(st.builds(peer.Message, st.integers(0, 255), CALLS,
-                          st.dictionaries(st.integers(0, 255), BODIES, max_size=4)), max_size=5), CUTS)
-def test_binary_messages_survive_any_split(messages: list[peer.Message], cuts: list[int]) -> None:
+@given(st.lists(st.builds(peer.Message, st.integers(0, 255), CALL_IDS,
+                          st.dictionaries(st.integers(0, 255), BODIES, max_size=4)), max_size=5), PIECE_LENGTHS)
+def test_binary_messages_are_decoded_at_any_split(messages: list[peer.Message], piece_lengths: list[int]) -> None:
     data = b"".join(map(peer.encode_message, messages))
-    assert check_any_split(lambda: peer.MessageDecoder().receive, data, cuts) == messages
+    assert check_any_split(lambda: peer.MessageDecoder().receive, data, piece_lengths) == messages
 
 
 @pytest.mark.parametrize("raw", [
     b"\x40\x00", b"\x00\x08" + b"1" * 8, b"\x00\x0b\x0c" + b"1" * 8 + b"\x1d\x00",
     b"\x00\x0c\x0c" + b"1" * 8 + b"\x1d\x00\x01",
 ])
-def test_malformed_binary_messages_are_said_once(raw: bytes) -> None:
-    stream = peer.MessageDecoder()
-    assert [type(event) for event in feed(stream.receive, raw)] == [Malformed]
-    assert stream.receive(raw) == []
+def test_malformed_binary_messages_are_reported_once(raw: bytes) -> None:
+    decoder = peer.MessageDecoder()
+    assert [type(event) for event in feed(decoder.receive, raw)] == [Malformed]
+    assert decoder.receive(raw) == []
 
 
 def test_a_release_needs_a_cause_of_one_byte() -> None:
@@ -104,7 +104,7 @@
             peer.parse_event(peer.Message(peer.MessageType.RELEASE, "0" * 16, parameters))
 
 
-def test_reports_are_read_under_either_name_and_nonsense_is_left_out() -> None:
+def test_load_reports_are_parsed_under_either_name_and_invalid_figures_are_left_out() -> None:
     assert (parse_load_report("x0:3;x1:9;eps:0.25") == parse_load_report("free:3;size:9;hold_back:0.25")
             == io.Load(3, 9, hold_back=0.25))
     assert parse_figures("x0:nan;x1:inf;;:;queue:7") == {"queue": 7}
@@ -112,26 +112,26 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 99), st.text("ab{}é", min_size=1, max_size=20)), max_size=4),
-       st.booleans(), CUTS, st.integers(1, 9))
-def test_server_sent_events_survive_any_split(told: list[tuple[int, str]], chunked: bool, cuts: list[int],
-                                              size: int) -> None:
-    body = b"".join(f": comment\n\nid: {at}\ndata: {data}\n\n".encode() for at, data in told)
+       st.booleans(), PIECE_LENGTHS, st.integers(1, 9))
+def test_server_sent_events_are_decoded_at_any_split(events: list[tuple[int, str]], chunked: bool,
+                                                     piece_lengths: list[int], size: int) -> None:
+    body = b"".join(f": comment\n\nid: {event_id}\ndata: {data}\n\n".encode() for event_id, data in events)
     if chunked:
-        pieces = [body[at:at + size] for at in range(0, len(body), size)]
+        pieces = [body[start:start + size] for start in range(0, len(body), size)]
         body = b"".join(b"%x\r\n%s\r\n" % (len(piece), piece) for piece in pieces)
     head = b"HTTP/1.1 200 OK\r\n" + (b"Transfer-Encoding: chunked\r\n" if chunked else b"") + b"\r\n"
-    events = check_any_split(lambda: sse.EventDecoder().receive, head + body, cuts)
-    assert events == [sse.ServerSentEvent(str(at), data) for at, data in told]
+    decoded = check_any_split(lambda: sse.EventDecoder().receive, head + body, piece_lengths)
+    assert decoded == [sse.ServerSentEvent(str(event_id), data) for event_id, data in events]
 
 
 @pytest.mark.parametrize("raw", [b"HTTP/1.1 503 Busy\r\n\r\n", b"HTTP/1.1 200 OK\r\n\r\nid: x\n\n",
                                  b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
                                  b"y" * (MAX_MESSAGE_BYTES + 1)])
-def test_a_bulletin_that_cannot_be_read_is_said_once(raw: bytes) -> None:
+def test_a_malformed_event_stream_is_reported_once(raw: bytes) -> None:
     assert [type(event) for event in feed(sse.EventDecoder().receive, raw)] == [Malformed]
 
 
-def test_whole_numbers_are_plain_digits() -> None:
+def test_integers_are_plain_digits() -> None:
     assert parse_integer("12", "n") == 12
     for raw in ("", "-", "--1", " 1", "1_0", "٣", "1" * 17, "-1"):
         with pytest.raises(MalformedError):
--- a/tests/wires.py
+++ b/tests/wires.py
@@ -1,4 +1,4 @@
-"""The one helper of the tests of state machines: feeding bytes at any split."""
+"""Helpers for testing codecs: feeding them bytes split at any place."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 from astertrack.wire.common import Malformed
 
-CALLS = st.text("0123456789abcdef", min_size=16, max_size=16)
-CUTS = st.lists(st.integers(1, 40), max_size=30)
+CALL_IDS = st.text("0123456789abcdef", min_size=16, max_size=16)
+PIECE_LENGTHS = st.lists(st.integers(1, 40), max_size=30)
 Receive = Callable[[bytes], Sequence[Any]]
 
 
-def feed(receive: Receive, data: bytes, cuts: Sequence[int] = ()) -> list[Any]:
-    """Feed data in pieces of these lengths, the rest at once; return all events."""
+def feed(receive: Receive, data: bytes, piece_lengths: Sequence[int] = ()) -> list[Any]:
+    """Feed data in pieces of these lengths, the remainder at once; return all events."""
     events: list[Any] = []
-    for cut in cuts:
-        events += receive(data[:cut])
-        data = data[cut:]
+    for length in piece_lengths:
+        events += receive(data[:length])
+        data = data[length:]
     return events + list(receive(data))
 
 
-def check_any_split(make: Callable[[], Receive], data: bytes, cuts: Sequence[int]) -> list[Any]:
-    """Whatever the split, the events are those of one piece; after Malformed there is none. Returns them."""
-    whole = feed(make(), data)
-    assert feed(make(), data, cuts) == whole
-    assert feed(make(), data, [1] * len(data)) == whole
-    assert not any(isinstance(event, Malformed) for event in whole[:-1])
-    return whole
+def check_any_split(make_receive: Callable[[], Receive], data: bytes, piece_lengths: Sequence[int]) -> list[Any]:
+    """Assert that the events do not depend on the split and that none follows Malformed; return them."""
+    expected = feed(make_receive(), data)
+    assert feed(make_receive(), data, piece_lengths) == expected
+    assert feed(make_receive(), data, [1] * len(data)) == expected
+    assert not any(isinstance(event, Malformed) for event in expected[:-1])
+    return expected
