--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -25,8 +25,10 @@
 # Consecutive refused dials after which the peer's process counts as gone. One refusal can be an accident, as a reset
 # can.
 REFUSED_DIALS_UNTIL_LOST = 2
-KEEPALIVE_IDLE_US = 250_000  # without received bytes until a probe is sent; healthy peers report their trunk groups
-UNRESPONSIVE_TIMEOUT_US = 650_000  # without received bytes, despite the probe, until the connection is dropped
+# Without received bytes until a probe is sent. A healthy peer usually reports its trunk groups more often.
+KEEPALIVE_IDLE_US = 250_000
+# Without received bytes, despite the probe, until the connection is dropped: a new one may work.
+UNRESPONSIVE_TIMEOUT_US = 650_000
 # Without received bytes until the established calls at the peer are released. A call whose end was not noticed has to
 # be released within 8 s of its end.
 PEER_LOST_TIMEOUT_US = 6_750_000
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -29,7 +29,8 @@
 
 
 def test_the_timeouts_suit_the_callers() -> None:
-    assert MESSAGE_TIMEOUT_US + SWEEP_INTERVAL_US < 3_000_000  # callers get an answer or the close in 3 s
+    # Callers get an answer or the close within 3 s of connecting.
+    assert MESSAGE_TIMEOUT_US + SWEEP_INTERVAL_US < 3_000_000
     assert IDLE_TIMEOUT_US > 4_000_000  # after which callers close idle connections themselves
 
 
