--- a/astertrack/net/callers.py
+++ b/astertrack/net/callers.py
@@ -27,17 +27,17 @@
 SERVICE_UNAVAILABLE, SERVER_INTERNAL_ERROR, REQUEST_TERMINATED, BAD_REQUEST = 503, 500, 487, 400
 READ_BUFFER_BYTES = 4096  # read from one connection per reactor iteration: about ten set-ups
 SWEEP_INTERVAL_US = 250_000  # between checks of the connections and the unconfirmed releases
-# Without a complete message, until the connection is closed: callers must get an answer or the close within 3 s.
+# A connection without a complete message for this long is closed: callers must get an answer or the close within 3 s.
 MESSAGE_TIMEOUT_US = 2_400_000
-IDLE_TIMEOUT_US = 5_000_000  # of a connection without an open set-up; callers themselves close theirs after 4 s
-WRITE_BLOCKED_TIMEOUT_US = 2_000_000  # of a connection whose caller does not read what it is sent
-CLOSE_TIMEOUT_US = 500_000  # for sending the rest of the write buffer of a connection that is being closed
+IDLE_TIMEOUT_US = 5_000_000  # for connections without an open set-up; callers themselves close theirs after 4 s
+WRITE_BLOCKED_TIMEOUT_US = 2_000_000  # for connections whose caller does not read what it is sent
+CLOSE_TIMEOUT_US = 500_000  # for a connection that is being closed to send the rest of its write buffer
 MIN_EVICTION_IDLE_US = 100_000  # a connection that was active more recently is not closed to make room for another
 MAX_EVICTION_CANDIDATES = 32  # examined per eviction: examining all connections would take too long when there are many
-RELEASE_RESPONSE_TIMEOUT_US = 350_000  # without a response, until a release is sent again on another connection
+RELEASE_RESPONSE_TIMEOUT_US = 350_000  # an unconfirmed release is then sent again on another connection
 MAX_RELEASE_ATTEMPTS = 3
 MAX_WIDTH = 64.0  # circuits
-MAX_DEADLINE_RATIO = 2  # of a set-up's deadline to its class's: one further away is out of range
+MAX_DEADLINE_RATIO = 2  # of the longest accepted deadline of a set-up to the deadline of its class
 
 
 @dataclass(slots=True)
--- a/astertrack/net/control.py
+++ b/astertrack/net/control.py
@@ -38,9 +38,9 @@
 # Checking takes no more than this of one reactor iteration: calls wait at most this long for it.
 CHECK_BUDGET_US = 1_500
 STEPS_PER_CLOCK_READ = 16  # of checking; a step takes about 5 us
-# Read per reactor iteration. The events in this many bytes are parsed and hashed at once, in about 2 ms.
+# Bytes read per reactor iteration. The events in them are parsed and hashed at once, in about 2 ms.
 READ_BUFFER_BYTES = 8 * 1024
-# Bytes received and not checked yet: reading pauses above the first, and resumes below the second.
+# Reading pauses while more bytes than the first wait to be checked, and resumes below the second.
 PAUSE_READING_BYTES, RESUME_READING_BYTES = 1 << 20, 1 << 18
 TICK_INTERVAL_US = 100_000  # between ticks, which do the work that depends on time
 
--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -22,15 +22,15 @@
 log = structlog.get_logger()
 REDIAL_INTERVAL_US = 250_000  # between dials to a peer that does not answer
 MIN_CONNECTED_US = 100_000  # a connection that ended sooner is not redialled immediately
-# Consecutive refused dials after which the peer's process counts as gone. One refusal can be an accident, as a reset
-# can.
+# The peer's process counts as gone after this many consecutive refused dials. One refusal can be an accident, as a
+# reset can.
 REFUSED_DIALS_UNTIL_LOST = 2
-# Without received bytes until a probe is sent. A healthy peer usually reports its trunk groups more often.
+# A probe is sent after this time without received bytes. A healthy peer usually reports its trunk groups more often.
 KEEPALIVE_IDLE_US = 250_000
-# Without received bytes, despite the probe, until the connection is dropped: a new one may work.
+# The connection is dropped after this time without received bytes, despite the probe: a new one may work.
 UNRESPONSIVE_TIMEOUT_US = 650_000
-# Without received bytes until the established calls at the peer are released. A call whose end was not noticed has to
-# be released within 8 s of its end.
+# The established calls at a peer are released after this time without received bytes: a call whose end was not noticed
+# has to be released within 8 s of its end.
 PEER_LOST_TIMEOUT_US = 6_750_000
 LIVENESS_CHECK_INTERVAL_US = 100_000
 # How long the release of a set-up whose connection was lost is worth sending: after 300 ms the set-up may be sent
--- a/astertrack/net/versionserver.py
+++ b/astertrack/net/versionserver.py
@@ -22,7 +22,7 @@
 
 log = structlog.get_logger()
 COMMENT_INTERVAL_US = 1_000_000  # between the comments that keep a stream alive
-REQUEST_TIMEOUT_US = 5_000_000  # for a complete request, until the connection is closed
+REQUEST_TIMEOUT_US = 5_000_000  # a connection without a complete request is then closed
 MAX_CONNECTIONS = 2_000
 
 
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -24,12 +24,12 @@
 log = structlog.get_logger()
 ENDED_CALL_RETENTION_US = 60_000_000  # how long the end of a call is kept for clients that ask for it
 SWEEP_INTERVAL_US = 5_000_000  # between removals of ended calls
-PING_IDLE_US = 20_000_000  # without received bytes until a ping is sent
-UNRESPONSIVE_TIMEOUT_US = 60_000_000  # without received bytes until the connection is closed
+PING_IDLE_US = 20_000_000  # a ping is sent after this time without received bytes
+UNRESPONSIVE_TIMEOUT_US = 60_000_000  # a connection is closed after this time without received bytes
 CHECK_INTERVAL_US = 250_000  # between checks of the sockets
-# For a handshake or a message to be completed, until the connection is closed; the same as on the SIP front.
+# A connection whose handshake or message stays incomplete for this long is closed, as on the SIP front.
 MESSAGE_TIMEOUT_US = 2_400_000
-# For a client that does not read, until its connection is closed; this bounds the data that waits for it.
+# A connection whose client does not read for this long is closed: this bounds the data that waits for the client.
 WRITE_BLOCKED_TIMEOUT_US = 10_000_000
 MAX_CONNECTIONS = 256
 FINAL_MESSAGES = (api.Refused, api.Failed, api.Cancelled, api.Released)
