--- a/astertrack/gossip/__init__.py
+++ b/astertrack/gossip/__init__.py
@@ -1,11 +1,15 @@
-"""Gossip between instances: who is there, and what others have seen of servers.
+"""Gossip between instances: group membership, and what the instances observed of servers.
 
-Decides, on a clock and a random source that it is given: which instances live (SWIM with Lifeguard's local health),
-what is told to whom next (least-sent news first), which datagram was heard before (RFC 6479's window), and how much
-an instance's word weighs.
+The package does no I/O and takes the clock and the random source as arguments. It decides which instances are alive
+(SWIM with Lifeguard's local health), which updates to send next (least-transmitted first), whether a datagram is a
+replay (the sliding window of RFC 6479), and how much weight the claims of an instance carry.
 
-What may never happen: another's word revives or buries a member; a suspicion outlives its refutation; what is kept
-of a member grows with what it sends; a datagram is longer than 1,400 octets.
+Invariants:
+
+- No claim of one instance can declare another one alive or dead.
+- A suspicion ends when its subject refutes it.
+- The memory used for a member does not grow with the amount that it sends.
+- No datagram is longer than 1,400 bytes.
 """
 
 from astertrack.gossip.membership import Membership
--- a/astertrack/gossip/codec.py
+++ b/astertrack/gossip/codec.py
@@ -1,8 +1,8 @@
-"""Messages sealed and opened: MessagePack in a signed envelope, a ring of keys, and a bound on what checking costs.
+"""Encoding and authentication of messages: MessagePack in a signed envelope, a key ring and a verification budget.
 
-An envelope is [release, sender, epoch, number, time, body, signature]. The signature (Ed25519, RFC 8032) is over all
-before it; the body is the message. Receivers check in the order of cost: length, form, release, who it claims to be,
-its clock, whether its number was heard, whether there is time left to check signatures, and the signature last.
+An envelope is [version, sender, epoch, sequence number, time, body, signature]. The Ed25519 signature (RFC 8032) covers
+all preceding fields; the body is the encoded message. The receiver checks in order of cost: length, form, protocol
+version, claimed sender, clock skew, the remaining verification budget, the signature, the replay window and the body.
 """
 
 from __future__ import annotations
@@ -19,40 +19,40 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey, Ed25519PublicKey
 
 from astertrack.gossip.model import PROTOCOL_VERSION, Message, Name, Signature, UnsignedInt
-from astertrack.gossip.replay import SKEW_US, Heard, Replays
+from astertrack.gossip.replay import MAX_CLOCK_SKEW_US, ReplayFilter, ReplayResult
 
-DOMAIN = b"astertrack gossip 1\0"  # so that no signature made for something else fits
-KEYS_MOST = 4  # of one instance, valid at once: the old and the new one, twice over
-CHECKS_A_SECOND = 2_000  # signatures checked, at some 130 us each: a quarter of a core at the very most
-UNKNOWN_SHARE = 0.1  # of these for senders that are no members, or write from elsewhere
-SENDER_A_SECOND = 100  # for each member: one that floods leaves the others theirs
-CHECKED_MOST = 8_192  # claims' signatures remembered: the same claim comes from many
+DOMAIN = b"astertrack gossip 1\0"  # domain separation: no signature made for another purpose is valid here
+MAX_KEYS_PER_MEMBER = 4  # an old and a new key, twice over
+MAX_VERIFICATIONS_PER_SECOND = 2_000  # at some 130 us each, at most a quarter of a core
+UNKNOWN_SENDERS_FRACTION = 0.1  # of these for non-members and for members that send from another address
+MAX_VERIFICATIONS_PER_MEMBER = 100  # per second, so that a flooding member leaves the others their share
+MAX_CACHED_SIGNATURES = 8_192  # of claims, because the same claim arrives from many members
 
 
-class BadKey(Exception):
-    """A ring or a key that cannot be used; the text says what and why."""
+class InvalidKeyError(Exception):
+    """A key ring or private key is invalid; the message names the table and the reason."""
 
 
-def public_text(key: Ed25519PublicKey) -> str:
-    """Return a public key as it stands in a ring."""
+def encode_public_key(key: Ed25519PublicKey) -> str:
+    """Return a public key as base64 text, the form used in a key ring."""
     return base64.b64encode(key.public_bytes_raw()).decode()
 
 
-def private_text(key: Ed25519PrivateKey) -> str:
-    """Return a private key as it stands in a key file."""
+def encode_private_key(key: Ed25519PrivateKey) -> str:
+    """Return a private key as base64 text, the form used in a key file."""
     return base64.b64encode(key.private_bytes_raw()).decode()
 
 
-def read_private(text: str) -> Ed25519PrivateKey:
-    """Read a key file: one line of base64, of 32 octets."""
+def decode_private_key(text: str) -> Ed25519PrivateKey:
+    """Return the private key in a key file: one line of base64, 32 bytes decoded. Raises InvalidKeyError."""
     try:
         return Ed25519PrivateKey.from_private_bytes(base64.b64decode(text.strip(), validate=True))
     except ValueError:
-        raise BadKey("not a key: base64 of 32 octets is expected") from None
+        raise InvalidKeyError("invalid private key: expected base64 of 32 bytes") from None
 
 
 class _KeyTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[[key]]` of a ring."""
+    """One `[[key]]` table of a key ring file. Times are in milliseconds of the Unix clock."""
 
     name: Name
     public: str
@@ -66,49 +66,49 @@
 
 @dataclass(frozen=True, slots=True)
 class RingKey:
-    """A public key and when it is valid, in Unix microseconds."""
+    """A public key and its period of validity, in Unix microseconds, the end excluded."""
 
-    public: Ed25519PublicKey
-    from_us: int
-    until_us: int
+    public_key: Ed25519PublicKey
+    valid_from_us: int
+    valid_until_us: int
 
 
 class KeyRing:
-    """Whose signature counts, and when. Replaced as a whole when its file changes."""
+    """The public keys of all instances with their periods of validity; replaced as a whole when its file changes."""
 
     def __init__(self, keys: dict[str, tuple[RingKey, ...]] | None = None) -> None:
         self.keys = keys or {}
 
     @classmethod
     def read(cls, text: str) -> KeyRing:
-        """Read a ring's TOML, or raise BadKey with the table and field that is wrong."""
+        """Return the key ring in a TOML text. Raises InvalidKeyError with the table and field at fault."""
         try:
             file = msgspec.convert(tomllib.loads(text), _RingFile)
-        except (tomllib.TOMLDecodeError, msgspec.ValidationError) as wrong:
-            raise BadKey(f"key ring: {wrong}") from None
+        except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
+            raise InvalidKeyError(f"key ring: {error}") from None
         keys: dict[str, tuple[RingKey, ...]] = {}
-        for at, table in enumerate(file.key):
+        for index, table in enumerate(file.key):
             try:
                 public = Ed25519PublicKey.from_public_bytes(base64.b64decode(table.public, validate=True))
             except ValueError:
-                raise BadKey(f"key ring: key[{at}].public: base64 of 32 octets is expected") from None
+                raise InvalidKeyError(f"key ring: key[{index}].public: expected base64 of 32 bytes") from None
             if table.until_ms <= table.from_ms:
-                raise BadKey(f"key ring: key[{at}].until_ms: not after from_ms")
-            held = keys.get(table.name, ())
-            if len(held) >= KEYS_MOST:
-                raise BadKey(f"key ring: key[{at}]: at most {KEYS_MOST} keys for {table.name!r}")
-            keys[table.name] = (*held, RingKey(public, table.from_ms * 1000, table.until_ms * 1000))
+                raise InvalidKeyError(f"key ring: key[{index}].until_ms: must be later than from_ms")
+            member_keys = keys.get(table.name, ())
+            if len(member_keys) >= MAX_KEYS_PER_MEMBER:
+                raise InvalidKeyError(f"key ring: key[{index}]: at most {MAX_KEYS_PER_MEMBER} keys for {table.name!r}")
+            keys[table.name] = (*member_keys, RingKey(public, table.from_ms * 1000, table.until_ms * 1000))
         return cls(keys)
 
-    def valid(self, name: str, now_us: int) -> Iterable[Ed25519PublicKey]:
+    def valid_keys(self, name: str, now_us: int) -> Iterable[Ed25519PublicKey]:
         """Return the keys of an instance that are valid now."""
-        return (k.public for k in self.keys.get(name, ()) if k.from_us <= now_us < k.until_us)
+        return (key.public_key for key in self.keys.get(name, ()) if key.valid_from_us <= now_us < key.valid_until_us)
 
     def verify(self, name: str, signature: bytes, data: bytes, now_us: int) -> bool:
-        """Whether an instance signed this with a key that is valid now."""
-        for public in self.valid(name, now_us):
+        """Return whether the instance signed the data with a key that is valid now."""
+        for public_key in self.valid_keys(name, now_us):
             try:
-                public.verify(signature, data)
+                public_key.verify(signature, data)
                 return True
             except InvalidSignature:
                 continue
@@ -116,154 +116,167 @@
 
 
 class _Envelope(msgspec.Struct, frozen=True, array_like=True):
-    release: UnsignedInt
+    version: UnsignedInt
     sender: Name
-    epoch: UnsignedInt  # milliseconds of the sender's clock when it started
-    number: UnsignedInt
-    at_ms: UnsignedInt
+    epoch: UnsignedInt  # start of the sender, in milliseconds of its clock
+    sequence: UnsignedInt
+    sent_at_ms: UnsignedInt
     body: Annotated[bytes, msgspec.Meta(max_length=256 * 1024)]
     signature: Signature
 
 
 _encoder = msgspec.msgpack.Encoder()
-_envelopes = msgspec.msgpack.Decoder(_Envelope)
-_messages: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
+_envelope_decoder = msgspec.msgpack.Decoder(_Envelope)
+_message_decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
 def signed_bytes(signed_fields: tuple[object, ...]) -> bytes:
-    """Return the octets that a claim's signature is over."""
+    """Return the bytes that a claim's signature covers."""
     return DOMAIN + _encoder.encode(signed_fields)
 
 
-class Budget:
-    """How many signatures may be checked: in all, by strangers, and for each member."""
+class VerificationBudget:
+    """The number of signature verifications per second: in total, for unknown senders, and for each member."""
 
     def __init__(self, now_us: int) -> None:
-        self._all = self._strangers = 0.0
-        self._members: OrderedDict[str, float] = OrderedDict()
+        self._total = self._unknown_senders = 0.0
+        self._by_member: OrderedDict[str, float] = OrderedDict()
         self._second = now_us // 1_000_000
 
-    def take(self, member: str | None, now_us: int) -> bool:
-        """Whether one more may be checked in this second; a name of None stands for strangers."""
+    def try_consume(self, member: str | None, now_us: int) -> bool:
+        """Return whether another signature may be verified in this second, and count it.
+
+        `member` is None for unknown senders, which share one allowance.
+        """
         if now_us // 1_000_000 != self._second:
-            self._second, self._all, self._strangers = now_us // 1_000_000, 0.0, 0.0
-            self._members.clear()
+            self._second, self._total, self._unknown_senders = now_us // 1_000_000, 0.0, 0.0
+            self._by_member.clear()
         if member is None:
-            if self._strangers >= CHECKS_A_SECOND * UNKNOWN_SHARE:
+            if self._unknown_senders >= MAX_VERIFICATIONS_PER_SECOND * UNKNOWN_SENDERS_FRACTION:
                 return False
-            self._strangers += 1
+            self._unknown_senders += 1
         else:
-            if self._members.get(member, 0.0) >= SENDER_A_SECOND:
+            if self._by_member.get(member, 0.0) >= MAX_VERIFICATIONS_PER_MEMBER:
                 return False
-            self._members[member] = self._members.get(member, 0.0) + 1
-        if self._all >= CHECKS_A_SECOND:
+            self._by_member[member] = self._by_member.get(member, 0.0) + 1
+        if self._total >= MAX_VERIFICATIONS_PER_SECOND:
             return False
-        self._all += 1
+        self._total += 1
         return True
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
-    """A message whose sender is who it says."""
+class OpenedMessage:
+    """A message from an authenticated sender."""
 
     sender: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Turned:
-    """A datagram that is passed over, and why."""
+class Rejected:
+    """A datagram that is dropped. The reason becomes part of a counter's name."""
 
     reason: str
 
 
 class Codec:
-    """Seals what this instance sends and opens what it hears; the Sealer of its claims, too."""
+    """Seals outgoing messages, opens incoming ones, and signs and verifies claims (ClaimSigner)."""
 
-    def __init__(self, name: str, key: Ed25519PrivateKey, ring: KeyRing, now_us: Callable[[], int]) -> None:
-        self.name, self.key, self.ring, self.now_us = name, key, ring, now_us
-        self.epoch = now_us() // 1000
+    def __init__(self, name: str, key: Ed25519PrivateKey, ring: KeyRing, read_clock_us: Callable[[], int]) -> None:
+        self.name, self.key, self.ring, self.read_clock_us = name, key, ring, read_clock_us
+        self.epoch = read_clock_us() // 1000
         self.counts: Counter[str] = Counter()
-        self._number = 0
-        self._replays = Replays()
-        self._budget = Budget(now_us())
-        # Claims' signatures that were checked, for the same claim comes from many: by signer, octets and signature.
-        self._checked: OrderedDict[tuple[str, bytes, bytes], None] = OrderedDict()
+        self._sequence = 0
+        self._replay_filter = ReplayFilter()
+        self._budget = VerificationBudget(read_clock_us())
+        # Cache of verified claim signatures by signer, signed bytes and signature: the same claim arrives from many
+        # members.
+        self._verified_signatures: OrderedDict[tuple[str, bytes, bytes], None] = OrderedDict()
 
     # ---- claims
 
     def sign(self, signed_fields: tuple[object, ...]) -> bytes:
-        """Return this instance's signature of a claim."""
+        """Return this instance's signature over a claim."""
         return self.key.sign(signed_bytes(signed_fields))
 
     def verify(self, signer: str, signed_fields: tuple[object, ...], signature: bytes) -> bool:
-        """Whether the signer signed a claim with a key that is valid now."""
-        data, now = signed_bytes(signed_fields), self.now_us()
-        if (signer, data, signature) in self._checked and any(True for _ in self.ring.valid(signer, now)):
+        """Return whether the signer signed a claim with a key that is valid now."""
+        data, now_us = signed_bytes(signed_fields), self.read_clock_us()
+        if (signer, data, signature) in self._verified_signatures and any(
+                True for _ in self.ring.valid_keys(signer, now_us)):
             return True
-        if not self._budget.take(signer if signer in self.ring.keys else None, now):
+        if not self._budget.try_consume(signer if signer in self.ring.keys else None, now_us):
             self.counts["gossip_unchecked"] += 1
             return False
-        if not self.ring.verify(signer, signature, data, now):
+        if not self.ring.verify(signer, signature, data, now_us):
             return False
-        self._checked[signer, data, signature] = None
-        if len(self._checked) > CHECKED_MOST:
-            self._checked.popitem(last=False)
+        self._verified_signatures[signer, data, signature] = None
+        if len(self._verified_signatures) > MAX_CACHED_SIGNATURES:
+            self._verified_signatures.popitem(last=False)
         return True
 
-    def renew(self, ring: KeyRing, key: Ed25519PrivateKey | None = None) -> None:
-        """Take a new ring, and perhaps a new key of our own: what the old ones vouched for is checked again."""
+    def replace_keys(self, ring: KeyRing, key: Ed25519PrivateKey | None = None) -> None:
+        """Replace the key ring and optionally this instance's own key.
+
+        Signatures verified with the previous ring are verified again.
+        """
         self.ring, self.key = ring, key or self.key
-        self._checked.clear()
+        self._verified_signatures.clear()
 
     # ---- messages
 
     def seal(self, message: Message) -> bytes:
-        """Return the octets of a message."""
-        self._number += 1
+        """Return the bytes of a message in a signed envelope."""
+        self._sequence += 1
         body = _encoder.encode(message)
-        at_ms = self.now_us() // 1000
-        head = (PROTOCOL_VERSION, self.name, self.epoch, self._number, at_ms, body)
-        return _encoder.encode((*head, self.key.sign(DOMAIN + _encoder.encode(head))))
-
-    def open(self, data: bytes, known: bool, most: int) -> Opened | Turned:
-        """Open what came; `known`: whether it came from where a member of its sender's name is, see peek()."""
-        result = self._open(data, known, most)
-        if isinstance(result, Turned):
+        sent_at_ms = self.read_clock_us() // 1000
+        signed_header = (PROTOCOL_VERSION, self.name, self.epoch, self._sequence, sent_at_ms, body)
+        return _encoder.encode((*signed_header, self.key.sign(DOMAIN + _encoder.encode(signed_header))))
+
+    def open(self, data: bytes, is_known_sender: bool, max_bytes: int) -> OpenedMessage | Rejected:
+        """Authenticate and decode a received datagram or stream message of at most `max_bytes` bytes.
+
+        `is_known_sender` says whether it came from the address of the member named as its sender, see peek_sender().
+        """
+        result = self._open(data, is_known_sender, max_bytes)
+        if isinstance(result, Rejected):
             self.counts["gossip_turned_" + result.reason.replace(" ", "_")] += 1
         return result
 
     @staticmethod
-    def peek(data: bytes) -> str | None:
-        """Return who a datagram claims to be from, unchecked."""
+    def peek_sender(data: bytes) -> str | None:
+        """Return the claimed sender of a datagram, without verification."""
         try:
-            return _envelopes.decode(data).sender
+            return _envelope_decoder.decode(data).sender
         except (msgspec.DecodeError, UnicodeDecodeError):
             return None
 
-    def _open(self, data: bytes, known: bool, most: int) -> Opened | Turned:
-        if len(data) > most:
-            return Turned("too long")
+    def _open(self, data: bytes, is_known_sender: bool, max_bytes: int) -> OpenedMessage | Rejected:
+        if len(data) > max_bytes:
+            return Rejected("too long")
         try:
-            envelope = _envelopes.decode(data)
+            envelope = _envelope_decoder.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError):
-            return Turned("malformed")
-        if envelope.release != PROTOCOL_VERSION:
-            return Turned("other release")
-        now = self.now_us()
-        if envelope.sender == self.name or not any(True for _ in self.ring.valid(envelope.sender, now)):
-            return Turned("no key")
-        if abs(now - envelope.at_ms * 1000) > SKEW_US:
-            return Turned("skewed")
-        if not self._budget.take(envelope.sender if known else None, now):
-            return Turned("no time")
-        head = (envelope.release, envelope.sender, envelope.epoch, envelope.number, envelope.at_ms, envelope.body)
-        if not self.ring.verify(envelope.sender, envelope.signature, DOMAIN + _encoder.encode(head), now):
-            return Turned("bad signature")
-        heard = self._replays.hear(envelope.sender, envelope.epoch, envelope.number, envelope.at_ms * 1000, now)
-        if heard is not Heard.NEW:
-            return Turned(f"heard {heard.value}")
+            return Rejected("malformed")
+        if envelope.version != PROTOCOL_VERSION:
+            return Rejected("other release")
+        now_us = self.read_clock_us()
+        if envelope.sender == self.name or not any(True for _ in self.ring.valid_keys(envelope.sender, now_us)):
+            return Rejected("no key")
+        if abs(now_us - envelope.sent_at_ms * 1000) > MAX_CLOCK_SKEW_US:
+            return Rejected("skewed")
+        if not self._budget.try_consume(envelope.sender if is_known_sender else None, now_us):
+            return Rejected("no time")
+        signed_header = (envelope.version, envelope.sender, envelope.epoch, envelope.sequence, envelope.sent_at_ms,
+                         envelope.body)
+        if not self.ring.verify(envelope.sender, envelope.signature, DOMAIN + _encoder.encode(signed_header), now_us):
+            return Rejected("bad signature")
+        replay_result = self._replay_filter.record(
+            envelope.sender, envelope.epoch, envelope.sequence, envelope.sent_at_ms * 1000, now_us)
+        if replay_result is not ReplayResult.NEW:
+            return Rejected(f"heard {replay_result.value}")
         try:
-            return Opened(envelope.sender, _messages.decode(envelope.body))
+            return OpenedMessage(envelope.sender, _message_decoder.decode(envelope.body))
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            return Turned("malformed body")
+            return Rejected("malformed body")
--- a/astertrack/gossip/dissemination.py
+++ b/astertrack/gossip/dissemination.py
@@ -1,9 +1,9 @@
-"""What is still to be told: least-sent first, the newest of those first, and newer news in place of older.
+"""The queue of updates to disseminate: least-transmitted first, the newest of those first, one update per subject.
 
-SWIM sends each piece of news a number of times that grows with the logarithm of the members, the pieces sent least
-often first. The plain way, a list sorted at each message, costs the length of the list at each of them. Here each
-count of sendings has a shelf, and taking from the first shelf costs what is taken; news about the same subject takes
-the older one's place wherever that is. benchmarks/gossip_structures.py measures both.
+SWIM sends each update a number of times that grows with the logarithm of the number of members, and prefers the least
+transmitted ones. Sorting a list for every message would cost time in the length of the list. Here updates are kept in
+buckets by transmission count, so that taking from the first bucket costs only what is taken. A newer update about a
+subject replaces the older one in whichever bucket that is.
 """
 
 from __future__ import annotations
@@ -14,89 +14,96 @@
 T = TypeVar("T")
 
 
-class NewsQueue(Generic[T]):
-    """Pieces of news by subject. Bounded: beyond `most`, the one sent most often is let go."""
+class UpdateQueue(Generic[T]):
+    """A bounded queue of updates by subject.
 
-    def __init__(self, most: int = 4_096) -> None:
-        self._most = most
-        self._shelves: list[dict[Hashable, tuple[T, int]]] = [{}]  # by times sent; each holds the newest last
-        self._at: dict[Hashable, int] = {}  # subject: on which shelf it is
-        self.lost = 0
+    When it holds `max_updates`, the oldest of the most-transmitted updates makes room for a new one.
+    """
+
+    def __init__(self, max_updates: int = 4_096) -> None:
+        self._max_updates = max_updates
+        self._buckets: list[dict[Hashable, tuple[T, int]]] = [{}]  # by transmission count; the newest update is last
+        self._bucket_by_subject: dict[Hashable, int] = {}  # the transmission count of each subject's update
+        self.dropped_updates = 0
 
     def __len__(self) -> int:
-        return len(self._at)
-
-    def put(self, subject: Hashable, news: T, octets: int) -> None:
-        """Take news; what was to be told of the same subject is not told any more."""
-        shelf = self._at.pop(subject, None)
-        if shelf is not None:
-            del self._shelves[shelf][subject]
-        elif len(self._at) >= self._most:
-            self._let_go()
-        self._shelves[0][subject] = (news, octets)
-        self._at[subject] = 0
-
-    def _let_go(self) -> None:
-        shelf = next(shelf for shelf in reversed(self._shelves) if shelf)
-        oldest = next(iter(shelf))
-        del shelf[oldest], self._at[oldest]
-        self.lost += 1
-
-    def drop(self, subject: Hashable) -> None:
-        """Tell no more of a subject."""
-        shelf = self._at.pop(subject, None)
-        if shelf is not None:
-            del self._shelves[shelf][subject]
-
-    def take(self, octets: int, times_most: int) -> list[T]:
-        """Return what fits into so many octets, and count it as sent; what was sent times_most times is gone."""
-        taken: list[tuple[Hashable, tuple[T, int], int]] = []
-        for count, shelf in enumerate(self._shelves):
-            for subject in reversed(shelf):
-                entry = shelf[subject]
-                if entry[1] > octets:
+        return len(self._bucket_by_subject)
+
+    def put(self, subject: Hashable, update: T, size_bytes: int) -> None:
+        """Add an update; it replaces the queued update about the same subject."""
+        bucket = self._bucket_by_subject.pop(subject, None)
+        if bucket is not None:
+            del self._buckets[bucket][subject]
+        elif len(self._bucket_by_subject) >= self._max_updates:
+            self._evict()
+        self._buckets[0][subject] = (update, size_bytes)
+        self._bucket_by_subject[subject] = 0
+
+    def _evict(self) -> None:
+        bucket = next(bucket for bucket in reversed(self._buckets) if bucket)
+        oldest_subject = next(iter(bucket))
+        del bucket[oldest_subject], self._bucket_by_subject[oldest_subject]
+        self.dropped_updates += 1
+
+    def discard(self, subject: Hashable) -> None:
+        """Remove the queued update about a subject, if there is one."""
+        bucket = self._bucket_by_subject.pop(subject, None)
+        if bucket is not None:
+            del self._buckets[bucket][subject]
+
+    def take(self, available_bytes: int, max_transmissions: int) -> list[T]:
+        """Return the updates that fit into `available_bytes` and count them as transmitted.
+
+        An update is removed after `max_transmissions`.
+        """
+        selected: list[tuple[Hashable, tuple[T, int], int]] = []
+        for transmissions, bucket in enumerate(self._buckets):
+            for subject in reversed(bucket):
+                entry = bucket[subject]
+                if entry[1] > available_bytes:
                     continue
-                octets -= entry[1]
-                taken.append((subject, entry, count))
-            if octets < 32:  # no piece of news is so small
+                available_bytes -= entry[1]
+                selected.append((subject, entry, transmissions))
+            if available_bytes < 32:  # no update is that small
                 break
-        for subject, entry, count in reversed(taken):  # so that the newest stays last on its next shelf, too
-            del self._shelves[count][subject]
-            if count + 1 >= times_most:
-                del self._at[subject]
+        # In reverse, so that the newest update stays last in its next bucket, too.
+        for subject, entry, transmissions in reversed(selected):
+            del self._buckets[transmissions][subject]
+            if transmissions + 1 >= max_transmissions:
+                del self._bucket_by_subject[subject]
                 continue
-            if count + 1 == len(self._shelves):
-                self._shelves.append({})
-            self._shelves[count + 1][subject] = entry
-            self._at[subject] = count + 1
-        return [entry[0] for _, entry, _ in taken]
+            if transmissions + 1 == len(self._buckets):
+                self._buckets.append({})
+            self._buckets[transmissions + 1][subject] = entry
+            self._bucket_by_subject[subject] = transmissions + 1
+        return [entry[0] for _, entry, _ in selected]
 
 
-class PlainQueue(Generic[T]):
-    """The same by sorting a list each time: what NewsQueue is measured and tested against."""
+class SortedUpdateQueue(Generic[T]):
+    """Reference implementation that sorts a list for every message; tests compare UpdateQueue with it."""
 
     def __init__(self) -> None:
-        self._items: list[list[object]] = []  # subject, news, octets, times sent, order
+        self._items: list[list[object]] = []  # subject, update, size in bytes, transmissions, order of arrival
         self._order = 0
 
     def __len__(self) -> int:
         return len(self._items)
 
-    def put(self, subject: Hashable, news: T, octets: int) -> None:
-        """Take news."""
+    def put(self, subject: Hashable, update: T, size_bytes: int) -> None:
+        """Add an update; it replaces the queued update about the same subject."""
         self._items = [item for item in self._items if item[0] != subject]
         self._order += 1
-        self._items.append([subject, news, octets, 0, self._order])
+        self._items.append([subject, update, size_bytes, 0, self._order])
 
-    def take(self, octets: int, times_most: int) -> list[T]:
-        """Return what fits, and count it as sent."""
+    def take(self, available_bytes: int, max_transmissions: int) -> list[T]:
+        """Return the updates that fit into `available_bytes` and count them as transmitted."""
         self._items.sort(key=lambda item: (item[3], -item[4]))  # type: ignore[operator]
-        taken = []
+        selected = []
         for item in self._items:
-            if item[2] <= octets:  # type: ignore[operator]
-                octets -= item[2]  # type: ignore[operator]
-                taken.append(item)
-        for item in taken:
+            if item[2] <= available_bytes:  # type: ignore[operator]
+                available_bytes -= item[2]  # type: ignore[operator]
+                selected.append(item)
+        for item in selected:
             item[3] += 1  # type: ignore[operator]
-        self._items = [item for item in self._items if item[3] < times_most]  # type: ignore[operator]
-        return [item[1] for item in taken]  # type: ignore[misc]
+        self._items = [item for item in self._items if item[3] < max_transmissions]  # type: ignore[operator]
+        return [item[1] for item in selected]  # type: ignore[misc]
--- a/astertrack/gossip/model.py
+++ b/astertrack/gossip/model.py
@@ -1,4 +1,4 @@
-"""What instances say of each other: claims, each signed by whom it binds, and the messages that carry them."""
+"""Claims, each signed by the instance that it binds, and the messages that carry them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class State(IntEnum):
-    """How a member stands, by what one instance knows."""
+    """The state of a member as one instance knows it."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -27,11 +27,14 @@
 
 
 class _Claim(msgspec.Struct, frozen=True, array_like=True, tag_field="k"):
-    """What all claims share. `signature` is over bound()."""
+    """Base of all claims; `signature` covers the result of signed_fields()."""
 
 
 class Alive(_Claim, frozen=True, tag=1):
-    """A member says that it lives, from an incarnation on, and where. Only it can: others' words revive nobody."""
+    """A member's claim that it is alive at an address, from an incarnation on.
+
+    Only the member itself can sign it, so the claims of others cannot declare it alive.
+    """
 
     name: Name
     # Rises with each start and each refutation: milliseconds of the member's clock, or the previous value plus one.
@@ -41,34 +44,40 @@
     signature: Signature = b""
 
     def signed_fields(self) -> tuple[object, ...]:
-        """Return what is signed, and by whom."""
+        """Return the fields that the signature covers, preceded by the type of the claim."""
         return "alive", self.name, self.incarnation, self.address, self.zone
 
     @property
     def signer(self) -> str:
-        """Who must have signed it."""
+        """The instance that must have signed the claim: the member itself."""
         return self.name
 
 
 class Leave(_Claim, frozen=True, tag=2):
-    """A member says that it leaves. Of an earlier incarnation it means nothing: it may be an old one, sent again."""
+    """A member's claim that it leaves the group.
+
+    It is ignored if its incarnation is older than the member's current one, because it may be a replay.
+    """
 
     name: Name
     incarnation: UnsignedInt
     signature: Signature = b""
 
     def signed_fields(self) -> tuple[object, ...]:
-        """Return what is signed, and by whom."""
+        """Return the fields that the signature covers, preceded by the type of the claim."""
         return "leave", self.name, self.incarnation
 
     @property
     def signer(self) -> str:
-        """Who must have signed it."""
+        """The instance that must have signed the claim: the member itself."""
         return self.name
 
 
 class Suspect(_Claim, frozen=True, tag=3):
-    """An instance says that a member of this incarnation did not answer it. Its own word: it may not lend it."""
+    """An instance's claim that a member in this incarnation did not answer its probes.
+
+    The accuser signs it itself and cannot make it on behalf of another instance.
+    """
 
     name: Name
     incarnation: UnsignedInt
@@ -76,32 +85,33 @@
     signature: Signature = b""
 
     def signed_fields(self) -> tuple[object, ...]:
-        """Return what is signed, and by whom."""
+        """Return the fields that the signature covers, preceded by the type of the claim."""
         return "suspect", self.name, self.incarnation, self.accuser
 
     @property
     def signer(self) -> str:
-        """Who must have signed it."""
+        """The instance that must have signed the claim: the accuser."""
         return self.accuser
 
 
 class ServerReport(_Claim, frozen=True, tag=4):
-    """An instance says what it saw of a server itself, and when by its own clock."""
+    """An instance's own observation of a server, with the time of observation by the instance's clock."""
 
     reporter: Name
     server: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
     is_unhealthy: bool
-    seq: UnsignedInt  # rises with each that the witness makes of this server
+    seq: UnsignedInt  # rises with each report of this reporter about this server
     at_ms: UnsignedInt
     signature: Signature = b""
 
     def signed_fields(self) -> tuple[object, ...]:
-        """Return what is signed, and by whom."""
+        """Return the fields that the signature covers, preceded by the type of the claim."""
+        # The type is part of the signed bytes and therefore keeps its name.
         return "testimony", self.reporter, self.server, self.is_unhealthy, self.seq, self.at_ms
 
     @property
     def signer(self) -> str:
-        """Who must have signed it."""
+        """The instance that must have signed the claim: the reporter."""
         return self.reporter
 
 
@@ -110,20 +120,23 @@
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, tag_field="k"):
-    """What all messages share."""
+    """Base of all messages."""
 
 
 class Ping(_Message, frozen=True, tag=1):
-    """Are you there? `target`: for whom it is meant, since an address may be another's by now."""
+    """A probe that asks the receiver for an Ack.
+
+    `target` names the intended receiver, because the address may belong to another instance by now.
+    """
 
     seq: UnsignedInt
     target: Name
-    digest: UnsignedInt  # of the sender's view, see Membership.digest()
+    digest: UnsignedInt  # digest of the sender's view, see Membership.digest()
     claims: ClaimList = []
 
 
 class Ack(_Message, frozen=True, tag=2):
-    """I am; or, through a helper, it is."""
+    """The answer to a Ping, sent by the target itself or forwarded by a helper."""
 
     seq: UnsignedInt
     digest: UnsignedInt
@@ -131,7 +144,7 @@
 
 
 class PingReq(_Message, frozen=True, tag=3):
-    """Ask the target for me."""
+    """A request to probe the target on behalf of the sender (SWIM: ping-req)."""
 
     seq: UnsignedInt
     target: Name
@@ -141,13 +154,16 @@
 
 
 class Nack(_Message, frozen=True, tag=4):
-    """I asked the target for you and have no answer yet: so the fault is not between you and me (Lifeguard)."""
+    """A helper's notice that it has probed the target and has no answer yet (Lifeguard).
+
+    It shows the requester that the path between requester and helper works.
+    """
 
     seq: UnsignedInt
 
 
 class Sync(_Message, frozen=True, tag=5):
-    """All that the sender knows, over a stream. `reply`: whether the other side's is wanted."""
+    """The sender's whole view, sent over a stream. `wants_reply` requests the receiver's view in return."""
 
     wants_reply: bool
     claims: ClaimList = []
@@ -157,52 +173,59 @@
 
 
 class ClaimSigner(Protocol):
-    """Signs what this instance claims, and checks what others do."""
+    """Signs the claims of this instance and verifies those of others."""
 
     def sign(self, signed_fields: tuple[object, ...]) -> bytes:
-        """Return this instance's signature."""
+        """Return this instance's signature over the fields."""
 
     def verify(self, signer: str, signed_fields: tuple[object, ...], signature: bytes) -> bool:
-        """Whether the signer signed it with a key that is valid now."""
+        """Return whether the signer signed the fields with a key that is valid now."""
 
 
 ClaimT = TypeVar("ClaimT", Alive, Leave, Suspect, ServerReport)
 
 
 def sign_claim(claim: ClaimT, claim_signer: ClaimSigner) -> ClaimT:
-    """Return the claim with this instance's signature."""
+    """Return a copy of the claim that carries this instance's signature."""
     return msgspec.structs.replace(claim, signature=claim_signer.sign(claim.signed_fields()))
 
 
 @dataclass(frozen=True, slots=True)
 class GossipSettings:
-    """How an instance gossips. The defaults are for a few milliseconds between sites; each says why."""
+    """The parameters of the protocol. The defaults are meant for latencies of a few milliseconds between sites.
+
+    SWIM: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol"
+    (DSN 2002). Lifeguard: Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
+    Detection" (DSN-W 2018).
+    """
 
-    probe_interval_us: int = 1_000_000  # one member is probed each: SWIM's protocol period T'
-    # A direct answer is waited for so long before others are asked: several round trips of 60 ms and a slow turn.
+    probe_interval_us: int = 1_000_000  # one member is probed per interval: SWIM's protocol period T'
+    # Timeout of a direct probe, after which helpers are asked: several round trips of 60 ms and a slow turn.
     probe_timeout_us: int = 300_000
-    indirect_probes: int = 3  # asked to probe for us: SWIM's k; one in three lost leaves 1 in 27 without any help
-    # Least time of a suspicion is this many periods times log10 of the members (Lifeguard: alpha 5), ...
+    indirect_probes: int = 3  # helpers per probe, SWIM's k; if one in three is lost, 1 in 27 probes gets no help
+    # The minimum suspicion timeout is this many periods times log10 of the number of members (Lifeguard: alpha 5).
     suspicion_multiplier: float = 4.0
-    max_suspicion_multiplier: float = 6.0  # ... and this many times longer while nobody confirms it (Lifeguard: beta 6)
-    required_confirmations: int = 3  # that bring it down to the least (Lifeguard: K 3)
-    max_local_health: int = 8  # local health multiplier at most (Lifeguard: S 8)
-    # Each piece of news is sent so many times log2 of the members: all hear it with high probability (SWIM: lambda).
+    max_suspicion_multiplier: float = 6.0  # times the minimum while nobody confirms the suspicion (Lifeguard: beta 6)
+    required_confirmations: int = 3  # after which the minimum timeout applies (Lifeguard: K 3)
+    max_local_health: int = 8  # upper bound of the local health multiplier (Lifeguard: S 8)
+    # An update is sent this many times log2 of the number of members, so that all receive it with high probability
+    # (SWIM: lambda).
     retransmit_multiplier: float = 3.0
-    max_datagram_bytes: int = 1_400  # of a datagram: under every path's MTU
-    dead_member_retention_us: int = 120_000_000  # a dead member is remembered, and tried now and then, for so long
-    rejoin_interval_us: int = 4_000_000  # between tries to reach dead members and seeds: heals partitions
-    min_sync_interval_us: int = 3_000_000  # between syncs that this instance begins
-    # Views that differ for so long are made equal by a sync, though nobody was away: news was lost.
+    max_datagram_bytes: int = 1_400  # below the MTU of every path
+    dead_member_retention_us: int = 120_000_000  # dead members are remembered and retried for this long
+    rejoin_interval_us: int = 4_000_000  # between attempts to reach dead members and seeds, which heals partitions
+    min_sync_interval_us: int = 3_000_000  # between syncs that this instance starts
+    # After this many consecutive probes with different digests a sync reconciles the views, even though no member was
+    # unreachable: an update was lost.
     max_digest_mismatches: int = 12
 
 
-# ---- what the machine asks its driver to do
+# ---- actions that Membership requests from its caller
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a datagram."""
+    """Action: send a datagram."""
 
     address: str
     message: Message
@@ -210,7 +233,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenStream:
-    """Open a stream, send this, and hand back what comes: heard() takes it, and answer() is what the other end says."""
+    """Action: open a stream, send the message and pass the reply to Membership.handle_message().
+
+    The other end produces the reply with Membership.handle_stream_message().
+    """
 
     address: str
     message: Sync | Ping
@@ -218,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member stands otherwise than before."""
+    """Notification: a member's state has changed."""
 
     name: str
     state: State
--- a/astertrack/gossip/trust.py
+++ b/astertrack/gossip/trust.py
@@ -1,40 +1,43 @@
-"""How much an instance's word weighs: it falls with each claim that is refuted, and recovers with time."""
+"""The weight of each instance's claims, which falls with every refuted claim and recovers over time."""
 
 from __future__ import annotations
 
 import math
 from collections import OrderedDict
 
-RECOVERS_US = 60_000_000  # half of what is held against an instance is forgiven in so long (ours)
-HEEDED_LEAST = 0.25  # below this weight an instance's word alone starts nothing: four refuted claims (ours)
-REMEMBERED_MOST = 4_096
+# Neither value comes from the papers. An instance's refuted claims count half after one half-life, and four of them
+# bring its weight below the minimum, at which its claim alone can still start a suspicion.
+REFUTATION_HALF_LIFE_US = 60_000_000
+MIN_ACCEPTED_WEIGHT = 0.25
+MAX_TRACKED_MEMBERS = 4_096
 
 
 class Trust:
-    """Weights by name, from 0 to 1: 1 / (1 + refuted claims), the older ones forgiven by half-lives.
+    """Weights by instance name, from 0 to 1: 1 / (1 + refuted claims), where refuted claims decay with a half-life.
 
-    Under loss sound instances err, too: one refuted suspicion halves a weight for a minute, which slows a true
-    suspicion down by less than its spread by others makes up for.
+    Healthy instances also make wrong claims under packet loss. One refuted suspicion halves an instance's weight for a
+    minute, which delays a justified suspicion by less time than its spread by other members saves.
     """
 
     def __init__(self) -> None:
-        self._held: OrderedDict[str, tuple[float, int]] = OrderedDict()  # refuted claims, and as of when
+        # Count of refuted claims and the time at which it was calculated, by instance name.
+        self._refutations: OrderedDict[str, tuple[float, int]] = OrderedDict()
 
-    def _refuted(self, name: str, now_us: int) -> float:
-        held, since_us = self._held.get(name, (0.0, now_us))
-        return held * math.exp2((since_us - now_us) / RECOVERS_US)
+    def _current_refutations(self, name: str, now_us: int) -> float:
+        refutations, updated_us = self._refutations.get(name, (0.0, now_us))
+        return refutations * math.exp2((updated_us - now_us) / REFUTATION_HALF_LIFE_US)
 
-    def refuted(self, name: str, now_us: int) -> None:
-        """A claim of this instance was refuted by who knows better."""
-        self._held[name] = (min(64.0, self._refuted(name, now_us) + 1.0), now_us)
-        self._held.move_to_end(name)
-        if len(self._held) > REMEMBERED_MOST:
-            self._held.popitem(last=False)
+    def record_refutation(self, name: str, now_us: int) -> None:
+        """Record that a claim of this instance was refuted by the claim's subject."""
+        self._refutations[name] = (min(64.0, self._current_refutations(name, now_us) + 1.0), now_us)
+        self._refutations.move_to_end(name)
+        if len(self._refutations) > MAX_TRACKED_MEMBERS:
+            self._refutations.popitem(last=False)
 
     def weight(self, name: str, now_us: int) -> float:
-        """Return the weight of an instance's word."""
-        return 1.0 / (1.0 + self._refuted(name, now_us))
+        """Return the current weight of an instance's claims."""
+        return 1.0 / (1.0 + self._current_refutations(name, now_us))
 
-    def heeded(self, name: str, now_us: int) -> bool:
-        """Whether its word alone may start something."""
-        return self.weight(name, now_us) >= HEEDED_LEAST
+    def is_accepted(self, name: str, now_us: int) -> bool:
+        """Return whether a claim of this instance alone may start a suspicion."""
+        return self.weight(name, now_us) >= MIN_ACCEPTED_WEIGHT
