--- a/astertrack/gossip/membership.py
+++ b/astertrack/gossip/membership.py
@@ -20,6 +20,7 @@
 from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from enum import Enum, auto
 
 import msgspec
 
@@ -54,9 +55,20 @@
 encoder = msgspec.msgpack.Encoder()
 
 
+class TimerKind(Enum):
+    """What a timer of Membership triggers."""
+
+    PROBE = auto()
+    PROBE_TIMEOUT = auto()
+    PROBE_END = auto()
+    SUSPICION = auto()
+    NACK = auto()
+    REJOIN = auto()
+
+
 @dataclass(slots=True, eq=False)
 class Suspicion:
-    """A suspected member's accusers and the bounds of the time in which it can refute them."""
+    """The accusers of a suspected member and the minimum and maximum time that it has for a refutation."""
 
     started_us: int
     min_timeout_us: int
@@ -133,18 +145,18 @@
         self._probe: Probe | None = None
         # Probes on behalf of others, by this instance's number: the requester's address and its number.
         self._relayed_probes: dict[int, tuple[str, int]] = {}
-        self._timers: list[tuple[int, int, str, object]] = []
+        self._timers: list[tuple[int, int, TimerKind, object]] = []
         self._timer_ids = itertools.count()
         self._last_sync_us = -settings.min_sync_interval_us
         self._digest_mismatches = 0  # consecutive probes whose answer had another digest
         self._last_refutation_us = -settings.probe_interval_us
-        self._schedule(now_us + int(random_source.random() * settings.probe_interval_us), "period", None)
-        self._schedule(now_us + int(random_source.random() * settings.rejoin_interval_us), "rejoin", None)
+        self._schedule(now_us + int(random_source.random() * settings.probe_interval_us), TimerKind.PROBE, None)
+        self._schedule(now_us + int(random_source.random() * settings.rejoin_interval_us), TimerKind.REJOIN, None)
         self._disseminate(self.own_claim)
 
     # ---- timers
 
-    def _schedule(self, due_us: int, timer: str, argument: object) -> None:
+    def _schedule(self, due_us: int, timer: TimerKind, argument: object) -> None:
         heapq.heappush(self._timers, (due_us, next(self._timer_ids), timer, argument))
 
     def next_timer_us(self) -> int:
@@ -155,17 +167,17 @@
         """Run all timers that are due."""
         while self._timers and self._timers[0][0] <= now_us:
             _, _, timer, argument = heapq.heappop(self._timers)
-            if timer == "period":
+            if timer is TimerKind.PROBE:
                 self._start_probe(now_us)
-            elif timer == "unanswered":
+            elif timer is TimerKind.PROBE_TIMEOUT:
                 self._probe_indirectly(argument, now_us)
-            elif timer == "ended":
+            elif timer is TimerKind.PROBE_END:
                 self._finish_probe(argument, now_us)
-            elif timer == "suspected":
+            elif timer is TimerKind.SUSPICION:
                 self._check_suspicion(str(argument), now_us)
-            elif timer == "nack":
+            elif timer is TimerKind.NACK:
                 self._send_nack(argument)
-            elif timer == "rejoin":
+            elif timer is TimerKind.REJOIN:
                 self._try_rejoin(now_us)
 
     def take_actions(self) -> list[Action]:
@@ -246,8 +258,8 @@
 
     def _start_probe(self, now_us: int) -> None:
         """Probe the next member of the round; the interval grows with local health (Lifeguard: LHA-Probe)."""
-        self._schedule(now_us + self.settings.probe_interval_us * (self.local_health + 1), "period", None)
-        self._forget_dead_members(now_us)
+        self._schedule(now_us + self.settings.probe_interval_us * (self.local_health + 1), TimerKind.PROBE, None)
+        self._forget_gone_members(now_us)
         if self.is_leaving:
             return
         member = self._next_probe_target()
@@ -257,8 +269,10 @@
         # Buddy system (Lifeguard): a suspected member learns of it with the first probe and can refute it.
         suspicions = list(member.suspicion.accusers.values()) if member.suspicion is not None else []
         self._send_ping(member, probe.seq, suspicions)
-        self._schedule(now_us + self.settings.probe_timeout_us * (self.local_health + 1), "unanswered", probe)
-        self._schedule(now_us + self.settings.probe_interval_us * (self.local_health + 1) - 1, "ended", probe)
+        self._schedule(
+            now_us + self.settings.probe_timeout_us * (self.local_health + 1), TimerKind.PROBE_TIMEOUT, probe)
+        self._schedule(
+            now_us + self.settings.probe_interval_us * (self.local_health + 1) - 1, TimerKind.PROBE_END, probe)
 
     def _send_ping(self, member: Member, seq: int, prioritized: Iterable[Claim] = ()) -> None:
         self._send(member.claim.address, Ping(seq, member.name, self.digest(), self._select_claims(prioritized)))
@@ -362,7 +376,7 @@
                     self._send_ping(target, seq)
                     nack_delay_us = (
                         self.settings.probe_interval_us - self.settings.probe_timeout_us) * NACK_TIMEOUT_FRACTION
-                    self._schedule(now_us + int(nack_delay_us), "nack", seq)
+                    self._schedule(now_us + int(nack_delay_us), TimerKind.NACK, seq)
             case Nack():
                 if self._probe is not None and message.seq == self._probe.seq:
                     self._probe.received_nacks += 1
@@ -520,7 +534,7 @@
         suspicion = member.suspicion
         if suspicion is None:
             min_timeout_us = int(self.settings.suspicion_multiplier * max(1.0, math.log10(self.group_size()))
-                        * self.settings.probe_interval_us)
+                                 * self.settings.probe_interval_us)
             max_timeout_us = int(min_timeout_us * self.settings.max_suspicion_multiplier)
             suspicion = member.suspicion = Suspicion(now_us, min_timeout_us, max_timeout_us)
             reason = "probe not answered" if confirmed_locally else f"suspected by {claim.accuser}"
@@ -529,7 +543,7 @@
         if claim.accuser not in suspicion.accusers and len(suspicion.accusers) <= self.settings.required_confirmations:
             suspicion.accusers[claim.accuser] = claim
             self._disseminate(claim)
-        self._schedule(self._suspicion_expires_us(suspicion, now_us), "suspected", member.name)
+        self._schedule(self._suspicion_expires_us(suspicion, now_us), TimerKind.SUSPICION, member.name)
 
     def _suspicion_expires_us(self, suspicion: Suspicion, now_us: int) -> int:
         others_weight = sum(self.trust.weight(accuser, now_us) for accuser in suspicion.accusers
@@ -555,7 +569,8 @@
             # Probe it next and check again: by then the own probe has failed, or the member has answered and can
             # refute the suspicion.
             self._probe_order.append(name)
-            self._schedule(now_us + 2 * self.settings.probe_interval_us * (self.local_health + 1), "suspected", name)
+            self._schedule(
+                now_us + 2 * self.settings.probe_interval_us * (self.local_health + 1), TimerKind.SUSPICION, name)
 
     def _refute(self, incarnation: int, now_us: int) -> None:
         """Disseminate an Alive claim with a higher incarnation, which refutes all suspicions of earlier ones.
@@ -581,7 +596,7 @@
         After a partition, either side can thereby find the other again.
         """
         self._schedule(now_us + self.settings.rejoin_interval_us
-                 + int(self._random.random() * self.settings.rejoin_interval_us / 4), "rejoin", None)
+                       + int(self._random.random() * self.settings.rejoin_interval_us / 4), TimerKind.REJOIN, None)
         if self.is_leaving:
             return
         live_addresses = {member.claim.address for member in self._live.values()}
@@ -590,7 +605,7 @@
         if unreachable_addresses:
             self._start_sync(self._random.choice(unreachable_addresses), now_us)
 
-    def _forget_dead_members(self, now_us: int) -> None:
+    def _forget_gone_members(self, now_us: int) -> None:
         for name in [gone_name for gone_name, member in self._gone.items()
                      if now_us - member.state_since_us > self.settings.dead_member_retention_us]:
             del self.members[name], self._gone[name]
--- a/astertrack/gossip/model.py
+++ b/astertrack/gossip/model.py
@@ -95,19 +95,19 @@
 
 
 class ServerReport(_Claim, frozen=True, tag=4):
-    """An instance's own observation of a server, with the time of observation by the instance's clock."""
+    """An instance's own observation of a server, with the time of the observation by the instance's clock."""
 
     reporter: Name
     server: Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
     is_unhealthy: bool
     seq: UnsignedInt  # rises with each report of this reporter about this server
-    at_ms: UnsignedInt
+    observed_at_ms: UnsignedInt
     signature: Signature = b""
 
     def signed_fields(self) -> tuple[object, ...]:
         """Return the fields that the signature covers, preceded by the type of the claim."""
         # The type is part of the signed bytes and therefore keeps its name.
-        return "testimony", self.reporter, self.server, self.is_unhealthy, self.seq, self.at_ms
+        return "testimony", self.reporter, self.server, self.is_unhealthy, self.seq, self.observed_at_ms
 
     @property
     def signer(self) -> str:
--- a/laboratory/gossip_world.py
+++ b/laboratory/gossip_world.py
@@ -184,7 +184,7 @@
         self._schedule_early_timer(receiver)
 
     def _schedule_early_timer(self, instance: Instance) -> None:
-        """Run a timer that a received message has set to an earlier time than the scheduled one."""
+        """Run the next timer early if a received message has set it before the scheduled one."""
         due_us = instance.membership.next_timer_us() - instance.skew_us
 
         def run_timer() -> None:
