--- a/astertrack/gossip/codec.py
+++ b/astertrack/gossip/codec.py
@@ -22,8 +22,8 @@
 from astertrack.gossip.replay import MAX_CLOCK_SKEW_US, ReplayFilter, ReplayResult
 
 DOMAIN = b"astertrack gossip 1\0"  # domain separation: no signature made for another purpose is valid here
-MAX_KEYS_PER_MEMBER = 4  # an old and a new key, twice over
-MAX_VERIFICATIONS_PER_SECOND = 2_000  # at some 130 us each, at most a quarter of a core
+MAX_KEYS_PER_MEMBER = 4  # valid at the same time: an old and a new key, twice over
+MAX_VERIFICATIONS_PER_SECOND = 2_000  # some 130 us each: at most a quarter of a core
 UNKNOWN_SENDERS_FRACTION = 0.1  # of these for non-members and for members that send from another address
 MAX_VERIFICATIONS_PER_MEMBER = 100  # per second, so that a flooding member leaves the others their share
 MAX_CACHED_SIGNATURES = 8_192  # of claims, because the same claim arrives from many members
--- a/astertrack/gossip/membership.py
+++ b/astertrack/gossip/membership.py
@@ -51,7 +51,7 @@
 ENVELOPE_BYTES = 200  # reserved in a datagram for the envelope, the signature and the message's own fields
 MAX_MEMBERS = 4_096  # known at once; claims of further names are ignored
 NACK_TIMEOUT_FRACTION = 0.8  # of the time that a helper has for its answer; then it sends a nack (Lifeguard)
-MAX_SYNC_CLAIM_BYTES = 64 * 1024  # in one message of a sync; a view of 1,000 members takes twice as much
+MAX_SYNC_CLAIM_BYTES = 64 * 1024  # per message of a sync; not enforced. A view of 1,000 members takes twice that
 encoder = msgspec.msgpack.Encoder()
 
 
@@ -562,7 +562,7 @@
             return
         expires_us = self._suspicion_expires_us(member.suspicion, now_us)
         if now_us < expires_us:
-            return  # a timer of an earlier estimate; a later one is scheduled
+            return  # a timer of an earlier estimate: another one is scheduled
         if member.suspicion.confirmed_locally:
             self._update_member(member, member.claim, State.DEAD, now_us, "suspicion not refuted")
         else:
--- a/astertrack/gossip/model.py
+++ b/astertrack/gossip/model.py
@@ -200,9 +200,9 @@
     """
 
     probe_interval_us: int = 1_000_000  # one member is probed per interval: SWIM's protocol period T'
-    # Timeout of a direct probe, after which helpers are asked: several round trips of 60 ms and a slow turn.
+    # Timeout of a direct probe, after which helpers are asked: several round trips of 60 ms and a slow reactor turn.
     probe_timeout_us: int = 300_000
-    indirect_probes: int = 3  # helpers per probe, SWIM's k; if one in three is lost, 1 in 27 probes gets no help
+    indirect_probes: int = 3  # helpers per probe, SWIM's k; at a loss of one third, 1 in 27 probes gets no help
     # The minimum suspicion timeout is this many periods times log10 of the number of members (Lifeguard: alpha 5).
     suspicion_multiplier: float = 4.0
     max_suspicion_multiplier: float = 6.0  # times the minimum while nobody confirms the suspicion (Lifeguard: beta 6)
@@ -215,8 +215,8 @@
     dead_member_retention_us: int = 120_000_000  # dead members are remembered and retried for this long
     rejoin_interval_us: int = 4_000_000  # between attempts to reach dead members and seeds, which heals partitions
     min_sync_interval_us: int = 3_000_000  # between syncs that this instance starts
-    # After this many consecutive probes with different digests a sync reconciles the views, even though no member was
-    # unreachable: an update was lost.
+    # After this many consecutive probes with different digests a sync reconciles the views: although no member was
+    # unreachable, an update was lost.
     max_digest_mismatches: int = 12
 
 
--- a/astertrack/gossip/replay.py
+++ b/astertrack/gossip/replay.py
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 from enum import Enum
 
-WINDOW_SIZE = 1024  # sequence numbers; reordering on a path spans far fewer
+WINDOW_SIZE = 1024  # sequence numbers tracked behind the highest; reordering on a path spans far fewer
 MAX_CLOCK_SKEW_US = 30_000_000  # includes the datagram's transit time; beyond it a datagram is rejected
 MAX_SENDERS = 4_096  # the most recently active senders are kept
 
--- a/astertrack/gossip/trust.py
+++ b/astertrack/gossip/trust.py
@@ -5,8 +5,8 @@
 import math
 from collections import OrderedDict
 
-# Neither value comes from the papers. An instance's refuted claims count half after one half-life, and four of them
-# bring its weight below the minimum, at which its claim alone can still start a suspicion.
+# Neither value comes from the papers. After one half-life an instance's refuted claims count half; after four refuted
+# claims its weight is below the minimum, and its claim alone no longer starts a suspicion.
 REFUTATION_HALF_LIFE_US = 60_000_000
 MIN_ACCEPTED_WEIGHT = 0.25
 MAX_TRACKED_MEMBERS = 4_096
