--- a/astertrack/cli/plan.py
+++ b/astertrack/cli/plan.py
@@ -12,10 +12,10 @@
 
 from astertrack.cli.common import AS_JSON, FILE, FINE, NO, end, fail, plainly, say
 from astertrack.parts.versions import read_plan_file
-from astertrack.plan import Asked
+from astertrack.plan import RouteQuery
 from astertrack.plan.compiled import DIGITS
 from astertrack.plan.model import ANY, Range
-from astertrack.plan.policy import fits, resolve
+from astertrack.plan.policy import limit_applies, resolve_destination
 
 
 @click.group("plan")
@@ -37,9 +37,9 @@
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     del held
-    values = {"version": str(id), "records": plan.size, "prefixes": len(plan.numbers), "state": f"{plan.state:064x}",
+    values = {"version": str(id), "records": plan.size, "prefixes": len(plan.prefixes), "state": f"{plan.state:064x}",
               "took_ms": round(took_ms, 1), "memory_kib": memory // 1024,
-              "kinds": {kind: len(records) for kind, records in plan.others.items()}}
+              "kinds": {kind: len(records) for kind, records in plan.records_by_kind.items()}}
     say(values, as_json, "\n".join(f"{name:10} {value}" for name, value in values.items()))
 
 
@@ -56,9 +56,9 @@
     if number.strip(DIGITS) or not number:
         fail(f"{number!r} is no number: digits 0-9 and letters a-f are")
     _, plan, _ = read_plan_file(file)
-    hit = plan.numbers.match(number)
-    asked = Asked(number, dest, service, False)
-    found = resolve(plan, asked)
+    hit = plan.prefixes.match(number)
+    asked = RouteQuery(number, dest, service, False)
+    found = resolve_destination(plan, asked)
     values: dict[str, Any] = {"number": number, "prefix": number[:hit[0]] if hit is not None else None}
     if hit is not None:
         values["record"] = {"kind": "prefix", "digits": number[:hit[0]], "exchange": hit[1]} if isinstance(
@@ -69,16 +69,16 @@
         values |= {"turned_away": found[0], "wait_ms": found[2]}
         say(values, as_json, f"{number}: turned away: {found[0]} {found[1]}".rstrip())
         end(NO)
-    way = plan.way(found, service, zone)
-    tiers = [sorted(tier) if tier is not None else ["any"] for tier in way.tiers]
-    limits = [limit.name for limit in plan.of("limit").values() if fits(limit, asked, found)]
-    values |= {"exchange": found, "ways": tiers or [["any"]], "never": sorted(way.never), "limits": limits}
+    route = plan.route(found, service, zone)
+    tiers = [sorted(tier) if tier is not None else ["any"] for tier in route.tiers]
+    limits = [limit.name for limit in plan.records_of("limit").values() if limit_applies(limit, asked, found)]
+    values |= {"exchange": found, "ways": tiers or [["any"]], "never": sorted(route.never), "limits": limits}
     text = [f"{number}: exchange {found}, by {'prefix ' + str(values['prefix']) if hit else 'its caller'}",
             "ways: " + (", then ".join("any" if tier == ["any"] else "direct" if tier == [found]
                                        else "over " + " or ".join(map(str, tier)) for tier in tiers)
                         or "direct, then any")]
-    if way.never:
-        text.append("never over " + ", ".join(map(str, sorted(way.never))))
+    if route.never:
+        text.append("never over " + ", ".join(map(str, sorted(route.never))))
     if limits:
         text.append("limits: " + ", ".join(limits))
     say(values, as_json, "\n".join(text))
--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -22,7 +22,7 @@
 from astertrack.net.control import TICK_INTERVAL_US, ControlClient
 from astertrack.parts import read_toml
 from astertrack.parts.model import PartContext
-from astertrack.plan import Asked, Desk, Passed, Plan, Refused, Turned, build, write_line
+from astertrack.plan import Plan, PlanAdmission, PlanError, PlanEvaluator, PlanRefusal, RouteQuery, build, write_line
 from astertrack.plan.files import read_plan
 from astertrack.store.versions import VersionFiles
 from astertrack.versions import (
@@ -40,7 +40,7 @@
 from ospreylug import interface as io
 
 log = structlog.get_logger()
-NO_PLAN_WAIT_US = 2_000_000  # a call that needs a plan to find its way, and there is none yet
+NO_PLAN_WAIT_US = 2_000_000  # a call that needs a plan to find its route, and there is none yet
 CUT_SHARE = 0.5  # of a zone's exchanges that do not answer: the zone is taken for cut off
 # The store's thread gives the interpreter's lock back so soon when calls want it; by default they wait 5 ms.
 SWITCH_S = 0.0005
@@ -97,11 +97,11 @@
         read = read_plan(path.read_text("utf-8"))
     except (OSError, UnicodeDecodeError) as wrong:
         raise ConfigError(f"{path}: {wrong}") from None
-    except Refused as refused:
+    except PlanError as refused:
         raise ConfigError(f"{path}: {refused}") from None
     try:
         plan = build(iter(read.records))
-    except Refused as refused:
+    except PlanError as refused:
         finding = refused.finding
         record = read.records[finding.line - 1] if finding.line else None
         where = f"{record.__struct_config__.tag} {record.key()!r}: " if record is not None else ""
@@ -117,7 +117,7 @@
     """What the policy keeps of a call: its version from its first moment on."""
 
     version: InForce
-    passed: Passed
+    passed: PlanAdmission
     dest: int  # as its caller gave it
 
 
@@ -127,8 +127,8 @@
     name = "plan"
     fail_closed = False
 
-    def __init__(self, versions: Versions, desk: Desk) -> None:
-        self.versions, self.desk = versions, desk
+    def __init__(self, versions: Versions, evaluator: PlanEvaluator) -> None:
+        self.versions, self.evaluator = versions, evaluator
 
     def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
         """Resolve, narrow or refuse a call by the version in force at this instant."""
@@ -136,15 +136,15 @@
         if version is None:
             return Refusal("no-plan", NO_PLAN_WAIT_US) if request.dest < 0 else None
         dest = request.dest
-        verdict = self.desk.admit(version.plan, Asked(request.number, dest, request.service_name, request.transit),
-                                  now_us)
+        verdict = self.evaluator.admit(
+            version.plan, RouteQuery(request.number, dest, request.service_name, request.transit), now_us)
         label = str(version.id)
-        if isinstance(verdict, Turned):
+        if isinstance(verdict, PlanRefusal):
             if verdict.cause == "unmatched" and not request.transit:
                 self._outcome(version, request, dest, now_us, failed=True)
             return Refusal(verdict.cause, verdict.wait_us, label)
-        way = verdict.way
-        return Approval(way.dest, RouteConstraint(way.tiers, way.never), label, _Token(version, verdict, dest))
+        route = verdict.route
+        return Approval(route.dest, RouteConstraint(route.tiers, route.never), label, _Token(version, verdict, dest))
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
         """The constraint has said it."""
@@ -159,14 +159,14 @@
             self._outcome(token.version, request, token.dest, now_us, final is not FinalResult.ANSWERED)
 
     def _outcome(self, version: InForce, request: Request, dest: int, now_us: int, failed: bool) -> None:
-        exchange = version.plan.of("exchange").get(str(request.dest))
+        exchange = version.plan.records_of("exchange").get(str(request.dest))
         zone = exchange.zone if exchange is not None else ""
         self.versions.outcome(version.id, Outcome(request.number, dest, request.service_name, zone, now_us, failed))
 
     def over(self, token: object, request: Request, now_us: int) -> None:
         """Its limits have room again."""
         if isinstance(token, _Token):
-            self.desk.over(token.passed)
+            self.evaluator.release(token.passed)
 
 
 class VersionsPart:
@@ -186,7 +186,7 @@
             sys.setswitchinterval(SWITCH_S)
         self.client = ControlClient(settings.service.address, config.name, self.versions, context.clock, context.counts,
                                     self.source, self._store)
-        self.policy = PlanPolicy(self.versions, Desk(zone, config.settings.home, self.source))
+        self.policy = PlanPolicy(self.versions, PlanEvaluator(zone, config.settings.home, self.source))
         self.router: Router | None = None
         self._storing: Deferred[Any] = succeed(None)
         self._stopped = False
--- a/astertrack/plan/__init__.py
+++ b/astertrack/plan/__init__.py
@@ -10,9 +10,20 @@
 1989); set digests by AdHash (Bellare and Micciancio 1997).
 """
 
-from astertrack.plan.compiled import Building, Plan, build
-from astertrack.plan.model import Drop, Finding, Line, Reason, Record, Refused, Turned, Way, read_line, write_line
-from astertrack.plan.policy import Asked, Desk, Passed, route
+from astertrack.plan.compiled import Plan, PlanBuilder, build
+from astertrack.plan.model import (
+           Drop,
+           Finding,
+           PlanError,
+           PlanLine,
+           PlanRefusal,
+           Reason,
+           Record,
+           Route,
+           read_line,
+           write_line,
+)
+from astertrack.plan.policy import PlanAdmission, PlanEvaluator, RouteQuery, find_route
 
-__all__ = ["Asked", "Building", "Desk", "Drop", "Finding", "Line", "Passed", "Plan", "Reason", "Record", "Refused",
-           "Turned", "Way", "build", "read_line", "route", "write_line"]
+__all__ = ["Drop", "Finding", "Plan", "PlanAdmission", "PlanBuilder", "PlanError", "PlanEvaluator", "PlanLine",
+           "PlanRefusal", "Reason", "Record", "Route", "RouteQuery", "build", "find_route", "read_line", "write_line"]
--- a/astertrack/plan/compiled.py
+++ b/astertrack/plan/compiled.py
@@ -14,7 +14,7 @@
     ANY,
     CAUSES,
     KINDS,
-    NUMBER_MOST,
+    MAX_PREFIX_LENGTH,
     RANGE_MOST,
     Alias,
     Barred,
@@ -23,16 +23,17 @@
     Exchange,
     Finding,
     Limit,
-    Line,
+    PlanError,
+    PlanLine,
     Prefix,
     Range,
     Reason,
     Record,
-    Refused,
-    Told,
+    RetryAdvice,
+    Route,
     Unmatched,
-    Way,
     digest,
+    kind_of,
 )
 from astertrack.plan.trie import Editor, PrefixTrie
 
@@ -51,19 +52,19 @@
 class Plan:
     """One plan, ready to be asked. Shared by all calls that began while it was in force."""
 
-    numbers: PrefixTrie[Value] = field(default_factory=PrefixTrie)
-    others: dict[str, dict[str, Any]] = field(default_factory=dict)  # records that are not prefixes, by kind
+    prefixes: PrefixTrie[Value] = field(default_factory=PrefixTrie)
+    records_by_kind: dict[str, dict[str, Any]] = field(default_factory=dict)  # records that are not prefixes, by kind
     state: int = 0  # digest of all records, whatever their order
     size: int = 0  # records
 
-    def of(self, kind: str) -> dict[str, Any]:
+    def records_of(self, kind: str) -> dict[str, Any]:
         """Return the records of a kind that is not searched by number, by key."""
-        return self.others.get(kind, {})
+        return self.records_by_kind.get(kind, {})
 
     def target(self, number: str) -> Value | None:
         """Return what the longest prefix of a number says, aliases followed; None: no prefix fits."""
         for _ in range(ALIASES_MOST + 1):
-            hit = self.numbers.match(number)
+            hit = self.prefixes.match(number)
             if hit is None or not isinstance(hit[1], Alias):
                 return None if hit is None else hit[1]
             number = hit[1].to + number[hit[0]:]
@@ -71,7 +72,7 @@
 
     def choice(self, exchange: int, service: str, zone: str) -> Choice | None:
         """Return the most exact choice for these: by exchange, then by class, then by zone."""
-        choices = self.of("choice")
+        choices = self.records_of("choice")
         if not choices:
             return None
         for place in (str(exchange), ANY):
@@ -82,34 +83,34 @@
                         return found
         return None
 
-    def way(self, exchange: int, service: str, zone: str) -> Way:
+    def route(self, exchange: int, service: str, zone: str) -> Route:
         """Return how a call of this class may get from a router of this zone to an exchange."""
         choice = self.choice(exchange, service, zone)
         if choice is None:
-            return Way(exchange)
+            return Route(exchange)
         never = frozenset(choice.never) - {exchange}
         never = frozenset(choice.never) - {exchange} if choice.direct else frozenset((*choice.never, exchange))
         if choice.direct and not choice.over:
-            return Way(exchange, (), never)
+            return Route(exchange, (), never)
         tiers: list[frozenset[int] | None] = [frozenset({exchange})] if choice.direct else []
         tiers += [frozenset(group) - never - {exchange} for group in choice.over]
         if not choice.over or choice.any_tandem:
             tiers.append(None)
-        return Way(exchange, tuple(tiers), never)
+        return Route(exchange, tuple(tiers), never)
 
     def records(self) -> Iterator[Record]:
         """Yield every record: those that are not prefixes first, each kind by key."""
         for kind in KINDS:
             if kind != "alias":  # those stand among the numbers
-                yield from (self.of(kind)[key] for key in sorted(self.of(kind)))
-        for digits, value in self.numbers.items():
+                yield from (self.records_of(kind)[key] for key in sorted(self.records_of(kind)))
+        for digits, value in self.prefixes.items():
             if isinstance(value, int):
                 yield Prefix(digits, value)
             elif not isinstance(value, Range):
                 yield value
 
 
-def spans(first: str, last: str) -> list[str]:
+def covering_prefixes(first: str, last: str) -> list[str]:
     """Return the fewest prefixes that stand for all numbers from first to last, of equally many digits.
 
     Errors: ValueError if the two are not of equal length, or first comes after last.
@@ -131,34 +132,34 @@
     if whole_low and whole_high and low == digits[0] and high == digits[-1]:
         return [head] if head else list(digits)
     if not whole_low:
-        found += [head + low + rest for rest in spans(first_rest, digits[-1] * len(first_rest))]
+        found += [head + low + rest for rest in covering_prefixes(first_rest, digits[-1] * len(first_rest))]
     middle = digits[digits.index(low) + (not whole_low):digits.index(high) + whole_high]
     found += [head + digit for digit in middle]
     if not whole_high:
-        found += [head + high + rest for rest in spans(digits[0] * len(last_rest), last_rest)]
+        found += [head + high + rest for rest in covering_prefixes(digits[0] * len(last_rest), last_rest)]
     return found
 
 
-class Building:
-    """The way from records to a Plan. Feed lines by put(), then close(); either raises Refused with a finding."""
+class PlanBuilder:
+    """The way from records to a Plan. Feed lines by apply(), then validate(); either raises Refused with a finding."""
 
     def __init__(self, base: Plan | None = None) -> None:
         base = base if base is not None else Plan()
         self._base = base
-        self._numbers: Editor[Value] = base.numbers.edit()
-        self._others = {kind: dict(base.of(kind)) for kind in KINDS if kind not in ("prefix", "barred")}
+        self._numbers: Editor[Value] = base.prefixes.edit()
+        self._others = {kind: dict(base.records_of(kind)) for kind in KINDS if kind not in ("prefix", "barred")}
         self._state, self._size = base.state, base.size
         self._put: set[tuple[str, str]] | None = set() if base.size else None  # keys put by a delta
-        self.lines = 0
+        self.line_count = 0
         # Whom records name, with the first line that does: checked once all exchanges are known.
         self._named: dict[int, tuple[int, str]] = {}
 
-    def _refuse(self, reason: Reason, expected: str, path: str = "") -> Refused:
-        return Refused(Finding(reason, expected, self.lines, path))
+    def _refuse(self, reason: Reason, expected: str, path: str = "") -> PlanError:
+        return PlanError(Finding(reason, expected, self.line_count, path))
 
-    def put(self, line: Line) -> None:
+    def apply(self, line: PlanLine) -> None:
         """Take the next record, or in a delta the next record or Drop."""
-        self.lines += 1
+        self.line_count += 1
         if isinstance(line, Drop):
             self._drop(line)
             return
@@ -175,7 +176,7 @@
         before = self._store(line)
         if before is not None:
             if self._put is None:
-                raise self._refuse(Reason.DOUBLED, f"there is a {type(before).__name__.lower()} "
+                raise self._refuse(Reason.DOUBLED, f"there is a {kind_of(before)} "
                                                    f"{before.key()!r} already")
             self._count(before, -1)
         self._count(line, 1)
@@ -190,7 +191,7 @@
             return self._place(record.digits, record.exchange)
         if isinstance(record, (Barred, Alias)):
             return self._place(record.digits, record)
-        kind = type(record).__name__.lower()
+        kind = kind_of(record)
         holder = self._others[kind]
         before: Record | None = holder.get(record.key())
         if isinstance(record, Range):
@@ -218,13 +219,13 @@
 
     def _span(self, record: Any, value: Range | None) -> None:
         """Put or take the prefixes that a range stands for."""
-        for digits in spans(record.first, record.last):
+        for digits in covering_prefixes(record.first, record.last):
             if value is None:
                 self._numbers.remove(digits)
             elif (before := self._numbers.put(digits, value)) is not None:
                 other = self._as_record(digits, before)
                 raise self._refuse(Reason.DOUBLED, f"prefix {digits!r} of the range has a meaning already: "
-                                                   f"{type(other).__name__.lower()} "
+                                                   f"{kind_of(other) if other else ''} "
                                                    f"{other.key() if other else ''}", "first")
 
     def _drop(self, line: Drop) -> None:
@@ -253,7 +254,7 @@
 
     def _name(self, exchange: int | None, path: str) -> None:
         if exchange is not None:
-            self._named.setdefault(exchange, (self.lines, path))
+            self._named.setdefault(exchange, (self.line_count, path))
 
     def _meaning(self, record: Record) -> None:
         """Check what can be told of a record by itself, and note whom it names."""
@@ -275,7 +276,7 @@
                 if record.in_hand is None and record.per_s is None:
                     raise self._refuse(Reason.SCHEMA, "in_hand or per_s, or both", "in_hand")
                 self._name(record.exchange, "exchange")
-            case Told():
+            case RetryAdvice():
                 if record.cause not in CAUSES:
                     raise self._refuse(Reason.SCHEMA, f"one of {', '.join(CAUSES)}", "cause")
             case Exchange() | Unmatched():
@@ -283,10 +284,10 @@
 
     def _range(self, record: Range) -> None:
         try:
-            found = spans(record.first, record.last)
+            found = covering_prefixes(record.first, record.last)
         except ValueError as wrong:
             raise self._refuse(Reason.SCHEMA, str(wrong), "first") from None
-        if len(found) > RANGE_MOST or len(record.first) > NUMBER_MOST:
+        if len(found) > RANGE_MOST or len(record.first) > MAX_PREFIX_LENGTH:
             raise self._refuse(Reason.TOO_MANY, f"a range of at most {RANGE_MOST} prefixes", "first")
         self._name(record.exchange, "exchange")
 
@@ -311,19 +312,19 @@
         if not record.direct and not record.any_tandem and not seen:
             raise self._refuse(Reason.NO_ROUTE, "a direct way, a tandem, or a barred prefix instead", "over")
 
-    def close(self) -> Iterator[None]:
+    def validate(self) -> Iterator[None]:
         """Check what only the whole tells; yields between pieces, so that calls may pass. Then finish() it."""
         known = self._others["exchange"]
         for exchange, (line, path) in self._named.items():
             if str(exchange) not in known:
-                raise Refused(Finding(Reason.UNKNOWN_EXCHANGE, f"exchange {exchange} is not listed", line, path))
+                raise PlanError(Finding(Reason.UNKNOWN_EXCHANGE, f"exchange {exchange} is not listed", line, path))
         yield
         if self._put is not None and any(str(number) not in known for number in self._dropped_exchanges()):
             yield from self._still_named(known)
         yield from self._aliases()
 
     def _dropped_exchanges(self) -> list[str]:
-        return [key for key in self._base.of("exchange") if key not in self._others["exchange"]]
+        return [key for key in self._base.records_of("exchange") if key not in self._others["exchange"]]
 
     def _still_named(self, known: dict[str, Any]) -> Iterator[None]:
         """A delta took an exchange out: what it left in the plan must not name it."""
@@ -331,7 +332,7 @@
         for at, (digits, value) in enumerate(trie.items()):
             exchange = value if isinstance(value, int) else getattr(value, "exchange", None)
             if exchange is not None and str(exchange) not in known:
-                raise Refused(Finding(Reason.UNKNOWN_EXCHANGE,
+                raise PlanError(Finding(Reason.UNKNOWN_EXCHANGE,
                                       f"exchange {exchange} was taken out, and prefix {digits!r} names it"))
             if at % 64 == 63:
                 yield
@@ -341,7 +342,7 @@
                          *getattr(record, "never", ())]
                 for exchange in named:
                     if exchange is not None and str(exchange) not in known:
-                        raise Refused(Finding(
+                        raise PlanError(Finding(
                             Reason.UNKNOWN_EXCHANGE,
                             f"exchange {exchange} was taken out, and {kind} {record.key()!r} names it"))
             yield
@@ -368,29 +369,29 @@
         def deep(digits: str, way: tuple[str, ...]) -> int:
             if digits in way:
                 loop = " -> ".join((*way[way.index(digits):], digits))
-                raise Refused(Finding(Reason.ALIAS_LOOP, f"prefixes that lead back to themselves: {loop}"))
+                raise PlanError(Finding(Reason.ALIAS_LOOP, f"prefixes that lead back to themselves: {loop}"))
             if digits not in depth:
                 if len(way) > ALIASES_MOST:
-                    raise Refused(Finding(Reason.ALIAS_LOOP,
+                    raise PlanError(Finding(Reason.ALIAS_LOOP,
                                           f"at most {ALIASES_MOST} aliases in a row: {' -> '.join(way)}"))
                 depth[digits] = 1 + max((deep(d, (*way, digits)) for d in below[digits]), default=0)
             return depth[digits]
 
         for digits in found:
             if deep(digits, ()) > ALIASES_MOST:
-                raise Refused(Finding(Reason.ALIAS_LOOP, f"at most {ALIASES_MOST} aliases in a row, from {digits!r}"))
+                raise PlanError(Finding(Reason.ALIAS_LOOP, f"at most {ALIASES_MOST} aliases in a row, from {digits!r}"))
             yield
 
     def finish(self) -> Plan:
-        """Return the plan; call it once close() is through."""
+        """Return the plan; call it once validate() is through."""
         return Plan(self._numbers.freeze(), {k: v for k, v in self._others.items() if v}, self._state, self._size)
 
 
-def build(lines: Iterator[Line], base: Plan | None = None) -> Plan:
+def build(lines: Iterator[PlanLine], base: Plan | None = None) -> Plan:
     """Make a plan of records in one go, as a command line does; raises Refused."""
-    building = Building(base)
+    builder = PlanBuilder(base)
     for line in lines:
-        building.put(line)
-    for _ in building.close():
+        builder.apply(line)
+    for _ in builder.validate():
         pass
-    return building.finish()
+    return builder.finish()
--- a/astertrack/plan/files.py
+++ b/astertrack/plan/files.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from astertrack.checking import split_validation_error
-from astertrack.plan.model import KINDS, Finding, Reason, Record, Refused, from_table
+from astertrack.plan.model import KINDS, Finding, PlanError, Reason, Record, from_table, kind_of
 
 
 class VersionTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -33,7 +33,7 @@
     try:
         raw: dict[str, Any] = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as wrong:
-        raise Refused(Finding(Reason.SCHEMA, f"not TOML: {wrong}")) from None
+        raise PlanError(Finding(Reason.SCHEMA, f"not TOML: {wrong}")) from None
     version = raw.pop("version", None)
     head = None
     if version is not None:
@@ -41,26 +41,26 @@
             head = msgspec.convert(version, VersionTable)
         except msgspec.ValidationError as wrong:
             expected, path = split_validation_error(wrong)
-            raise Refused(Finding(Reason.SCHEMA, expected, 0, f"version.{path}".rstrip("."))) from None
+            raise PlanError(Finding(Reason.SCHEMA, expected, 0, f"version.{path}".rstrip("."))) from None
     records: list[Record] = []
     for kind, held in raw.items():
         if kind not in KINDS:
-            raise Refused(Finding(Reason.SCHEMA, f"no such kind of record; known are {', '.join(KINDS)}", 0, kind))
+            raise PlanError(Finding(Reason.SCHEMA, f"no such kind of record; known are {', '.join(KINDS)}", 0, kind))
         tables = [held] if isinstance(held, dict) else held
         if not isinstance(tables, list):
-            raise Refused(Finding(Reason.SCHEMA, "a table, or an array of tables", 0, kind))
+            raise PlanError(Finding(Reason.SCHEMA, "a table, or an array of tables", 0, kind))
         for at, table in enumerate(tables):
             try:
                 records.append(from_table(kind, table, 0))
-            except Refused as refused:
+            except PlanError as refused:
                 finding = refused.finding
                 path = f"{kind}[{at}]" + (f".{finding.path}" if finding.path else "")
-                raise Refused(Finding(finding.reason, finding.expected, 0, path)) from None
+                raise PlanError(Finding(finding.reason, finding.expected, 0, path)) from None
     return PlanFile(head, tuple(records))
 
 
 def name_of(record: Record, records: tuple[Record, ...]) -> str:
     """Return where a record stands in its file, as `choice[2]`, for findings that count records."""
-    kind = type(record).__name__.lower()
+    kind = kind_of(record)
     same = [r for r in records if type(r) is type(record)]
     return f"{kind}[{next(at for at, r in enumerate(same) if r is record)}]"
--- a/astertrack/plan/model.py
+++ b/astertrack/plan/model.py
@@ -16,13 +16,13 @@
 
 from astertrack.checking import split_validation_error
 
-NUMBER_MOST = 32  # characters of a prefix: a number called has 16 on the platform, 15 by E.164
+MAX_PREFIX_LENGTH = 32  # characters of a prefix: a number called has 16 on the platform, 15 by E.164
 RANGE_MOST = 400  # prefixes that one range may stand for; one of n digits needs 18 n at most
 TANDEMS_MOST = 64  # exchanges in one choice
 WAIT_MOST_MS = 3_600_000
 
 Exchange_ = Annotated[int, msgspec.Meta(ge=0, lt=2**31, description="the number of an exchange")]
-Digits = Annotated[str, msgspec.Meta(pattern="^[0-9a-f]*$", max_length=NUMBER_MOST)]
+Digits = Annotated[str, msgspec.Meta(pattern="^[0-9a-f]*$", max_length=MAX_PREFIX_LENGTH)]
 Wait = Annotated[int, msgspec.Meta(ge=0, le=WAIT_MOST_MS)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64, pattern="^[^\\x00-\\x1f]*$")]
 Count = Annotated[int, msgspec.Meta(ge=0, lt=2**31)]
@@ -67,7 +67,7 @@
         return f"{self.reason.value}: {where}{': ' if where else ''}{self.expected}"
 
 
-class Refused(Exception):
+class PlanError(Exception):
     """A plan that cannot be made; `finding` says why."""
 
     def __init__(self, finding: Finding) -> None:
@@ -182,7 +182,7 @@
         return self.name
 
 
-class Told(_Record, frozen=True, tag="told"):
+class RetryAdvice(_Record, frozen=True, tag="told"):
     """What a refused caller is told, by cause: after how long to return, spread at random by a share of it."""
 
     cause: str
@@ -211,43 +211,48 @@
     key_: str = msgspec.field(name="key")
 
 
-Record = Exchange | Prefix | Barred | Alias | Range | Choice | Limit | Told | Unmatched
-Line = Record | Drop
+Record = Exchange | Prefix | Barred | Alias | Range | Choice | Limit | RetryAdvice | Unmatched
+PlanLine = Record | Drop
 KINDS: dict[str, type[Any]] = {
     "exchange": Exchange, "prefix": Prefix, "barred": Barred, "alias": Alias, "range": Range, "choice": Choice,
-    "limit": Limit, "told": Told, "unmatched": Unmatched}
+    "limit": Limit, "told": RetryAdvice, "unmatched": Unmatched}
 CAUSES = ("barred", "limit", "unmatched", "no-route")  # of refusals by a plan
 
-_lines: msgspec.json.Decoder[Line] = msgspec.json.Decoder(Line)
+_lines: msgspec.json.Decoder[PlanLine] = msgspec.json.Decoder(PlanLine)
 _encoder = msgspec.json.Encoder(order="deterministic")
 
 
+def kind_of(record: Record) -> str:
+    """Return the kind of a record, as its `kind` field names it on the wire."""
+    return str(record.__struct_config__.tag)
+
+
 def _finding(wrong: Exception, line: int) -> Finding:
     """Turn the checker's words into ours: what was expected, and the path to the field."""
     expected, path = split_validation_error(wrong)
     return Finding(Reason.SCHEMA, expected, line, path)
 
 
-def read_line(raw: bytes | str, line: int) -> Line:
+def read_line(raw: bytes | str, line: int) -> PlanLine:
     """Read one line of a version, or raise Refused with its finding."""
     try:
         return _lines.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as wrong:
-        raise Refused(_finding(wrong, line)) from None
+        raise PlanError(_finding(wrong, line)) from None
 
 
 def from_table(kind: str, table: object, line: int) -> Record:
     """Read one TOML table of our files, or raise Refused with its finding."""
     if kind not in KINDS:
-        raise Refused(Finding(Reason.SCHEMA, f"no such kind of record; known are {', '.join(KINDS)}", 0, kind))
+        raise PlanError(Finding(Reason.SCHEMA, f"no such kind of record; known are {', '.join(KINDS)}", 0, kind))
     try:
         record: Record = msgspec.convert(table, KINDS[kind])
     except msgspec.ValidationError as wrong:
-        raise Refused(_finding(wrong, line)) from None
+        raise PlanError(_finding(wrong, line)) from None
     return record
 
 
-def write_line(line: Line) -> bytes:
+def write_line(line: PlanLine) -> bytes:
     """Return the one form of a record on the wire, by which it is digested."""
     return _encoder.encode(line)
 
@@ -264,7 +269,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class Route:
     """What a plan lets a call do: the exchange it goes to, and how it may get there.
 
     `tiers` are groups of exchanges to which a set-up may be sent, the first before the second; None in the last
@@ -282,7 +287,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turned:
+class PlanRefusal:
     """A plan's refusal: its cause, and the wait that the caller is told, in microseconds."""
 
     cause: str
--- a/astertrack/plan/policy.py
+++ b/astertrack/plan/policy.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from astertrack.plan.compiled import Plan
-from astertrack.plan.model import ANY, Barred, Limit, Range, Turned, Way
+from astertrack.plan.model import ANY, Barred, Limit, PlanRefusal, Range, Route
 
 # After how long to return, where the plan does not say: by cause, in milliseconds. A limit frees when calls end,
 # which takes seconds; a barred or unmatched number will not do better soon, and a redial is only work.
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class RouteQuery:
     """What a plan is asked: a call, as far as it matters to routes."""
 
     number: str
@@ -32,17 +32,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class PlanAdmission:
     """A call that may go on: how, and the limits in which it counts until it is over."""
 
-    way: Way
+    route: Route
     limits: tuple[str, ...] = ()
 
 
 Turning = tuple[str, str, int | None]  # cause, by what, and the wait in ms that the record itself names
 
 
-def resolve(plan: Plan, asked: Asked) -> int | Turning:
+def resolve_destination(plan: Plan, asked: RouteQuery) -> int | Turning:
     """Return the exchange that a call goes to, or why it is turned away."""
     if asked.transit:
         return asked.dest
@@ -53,21 +53,21 @@
         return target.exchange
     if isinstance(target, int):
         return target
-    if asked.dest < 0 or any(record.refuse for record in plan.of("unmatched").values()):
+    if asked.dest < 0 or any(record.refuse for record in plan.records_of("unmatched").values()):
         return "unmatched", "", None
     return asked.dest
 
 
-def route(plan: Plan, asked: Asked, zone: str) -> Way | str:
+def find_route(plan: Plan, asked: RouteQuery, zone: str) -> Route | str:
     """Return all that a plan says of a call's way, limits apart; the cause, if it is turned away.
 
     Two plans for which this is equal treat the call alike: the judgement of a version rests on that.
     """
-    dest = resolve(plan, asked)
-    return plan.way(dest, asked.service, zone) if isinstance(dest, int) else dest[0]
+    dest = resolve_destination(plan, asked)
+    return plan.route(dest, asked.service, zone) if isinstance(dest, int) else dest[0]
 
 
-def fits(limit: Limit, asked: Asked, dest: int) -> bool:
+def limit_applies(limit: Limit, asked: RouteQuery, dest: int) -> bool:
     """Whether a call to an exchange counts in a limit."""
     return ((limit.exchange is None or limit.exchange == dest)
             and limit.service in (ANY, asked.service)
@@ -89,7 +89,7 @@
         return min(limit.burst, self.left + rate * max(0, now_us - self.at_us) / 1e6)
 
 
-class Desk:
+class PlanEvaluator:
     """Applies plans to calls."""
 
     def __init__(self, zone: str, home: int, random_source: random.Random) -> None:
@@ -97,28 +97,28 @@
         self.in_hand: Counter[str] = Counter()  # calls by the name of the limit in which they count
         self._buckets: dict[str, _Bucket] = {}
 
-    def admit(self, plan: Plan, asked: Asked, now_us: int) -> Passed | Turned:
+    def admit(self, plan: Plan, asked: RouteQuery, now_us: int) -> PlanAdmission | PlanRefusal:
         """Say what becomes of a call. A call in transit keeps its destination, and no prefix is applied to it:
         the router before has applied its own, and a second opinion could send it round in circles."""
-        dest = resolve(plan, asked)
+        dest = resolve_destination(plan, asked)
         if not isinstance(dest, int):
             return self._turned(plan, *dest)
-        limits = plan.of("limit")
+        limits = plan.records_of("limit")
         counted: tuple[str, ...] = ()
         if limits:
             full, fitting = self._limited(limits, asked, dest, now_us)
             if full is not None:
                 return self._turned(plan, "limit", full.name, full.wait_ms)
             counted = tuple(limit.name for limit in fitting)
-        way = plan.way(dest, asked.service, self.zone)
+        route = plan.route(dest, asked.service, self.zone)
         for name in counted:
             self.in_hand[name] += 1
-        return Passed(way, counted)
+        return PlanAdmission(route, counted)
 
-    def _limited(self, limits: dict[str, Limit], asked: Asked, dest: int,
+    def _limited(self, limits: dict[str, Limit], asked: RouteQuery, dest: int,
                  now_us: int) -> tuple[Limit | None, list[Limit]]:
         """Return the first limit that is reached, and all that fit; takes of their rates only if none is."""
-        fitting = [limit for limit in limits.values() if fits(limit, asked, dest)]
+        fitting = [limit for limit in limits.values() if limit_applies(limit, asked, dest)]
         for limit in fitting:
             if limit.in_hand is not None and self.in_hand[limit.name] >= limit.in_hand:
                 return limit, fitting
@@ -138,17 +138,17 @@
             bucket = self._buckets[limit.name] = _Bucket(limit.burst, now_us)
         return bucket
 
-    def over(self, passed: Passed) -> None:
+    def release(self, passed: PlanAdmission) -> None:
         """A call that was admitted is over."""
         for name in passed.limits:
             self.in_hand[name] -= 1
             if self.in_hand[name] <= 0:
                 del self.in_hand[name]
 
-    def _turned(self, plan: Plan, cause: str, by: str, wait_ms: int | None) -> Turned:
-        told = plan.of("told").get(cause)
+    def _turned(self, plan: Plan, cause: str, by: str, wait_ms: int | None) -> PlanRefusal:
+        told = plan.records_of("told").get(cause)
         spread = told.spread if told is not None else SPREAD
         if wait_ms is None:
             wait_ms = told.wait_ms if told is not None else WAITS_MS[cause]
         # Spread upwards only: nobody is told to return before the wait that the plan names.
-        return Turned(cause, int(wait_ms * 1000 * (1.0 + spread * self._random.random())), by)
+        return PlanRefusal(cause, int(wait_ms * 1000 * (1.0 + spread * self._random.random())), by)
--- a/astertrack/plan/trie.py
+++ b/astertrack/plan/trie.py
@@ -19,7 +19,7 @@
 T = TypeVar("T")
 # Entries of a container before it bursts. Measured from 16 to 256 at 100,000 prefixes: times of look-ups and edits
 # do not differ beyond the noise, and memory falls from 6.4 to 5.3 MiB up to 128, not beyond.
-BURST = 128
+BURST_THRESHOLD = 128
 
 
 class _Bucket(Generic[T]):
@@ -165,7 +165,7 @@
         before = at.entries.get(rest)
         at.entries[self._suffixes.setdefault(rest, rest)] = value
         at.grow(len(rest))
-        return (self._burst(at) if len(at.entries) > BURST else at), before
+        return (self._burst(at) if len(at.entries) > BURST_THRESHOLD else at), before
 
     def _burst(self, bucket: _Bucket[T]) -> _Node[T]:
         node: _Node[T] = _Node(self._owner, None, {})
--- a/astertrack/store/versions.py
+++ b/astertrack/store/versions.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from astertrack.plan import Building, Plan, Refused, read_line
+from astertrack.plan import Plan, PlanBuilder, PlanError, read_line
 from astertrack.versions import Header, VersionId, read_header, write_header
 
 POINTER, BEFORE = "current", "previous"
@@ -161,14 +161,14 @@
             head, *lines = data.split(b"\n")[:-1]
             try:
                 header = read_header(head)
-                building = Building(plan if header.kind == "delta" else None)
+                builder = PlanBuilder(plan if header.kind == "delta" else None)
                 for at, line in enumerate(lines, 1):
-                    building.put(read_line(line, at))
-                for _ in building.close():
+                    builder.apply(read_line(line, at))
+                for _ in builder.validate():
                     pass
-            except Refused as refused:
+            except PlanError as refused:
                 raise StoreError(f"{link.file}: {refused}") from None
-            plan = building.finish()
+            plan = builder.finish()
             if f"{plan.state:064x}" != header.state:
                 raise StoreError(f"{link.file}: makes another plan than it did")
         return plan
--- a/astertrack/versions/machine.py
+++ b/astertrack/versions/machine.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from astertrack.plan import Asked, Finding, Plan, Reason, Refused, route
+from astertrack.plan import Finding, Plan, PlanError, Reason, RouteQuery, find_route
 from astertrack.versions.model import (
     OCTETS_MOST,
     Action,
@@ -99,7 +99,7 @@
         self.counts["versions_offered"] += 1
         try:
             header = read_header(raw)
-        except Refused as refused:
+        except PlanError as refused:
             self.counts["versions_heads_unreadable"] += 1
             self._note("version with a head that cannot be read", finding=str(refused.finding))
             return
@@ -329,9 +329,9 @@
         """Whether the version in force and the one settled before it treat such a call differently."""
         assert self.in_force is not None
         assert self.settled is not None
-        asked = Asked(outcome.number, outcome.dest, outcome.service, False)
+        asked = RouteQuery(outcome.number, outcome.dest, outcome.service, False)
         zone = self.rules.zone
-        return route(self.in_force.plan, asked, zone) != route(self.settled.plan, asked, zone)
+        return find_route(self.in_force.plan, asked, zone) != find_route(self.settled.plan, asked, zone)
 
     def _compare(self) -> None:
         """Sort one of the calls before a version into those that it touches and those that it does not."""
--- a/astertrack/versions/model.py
+++ b/astertrack/versions/model.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from astertrack.checking import split_validation_error
-from astertrack.plan import Finding, Plan, Reason, Refused, write_line
-from astertrack.plan.model import Line
+from astertrack.plan import Finding, Plan, PlanError, Reason, write_line
+from astertrack.plan.model import PlanLine
 
 # A version of 100,000 prefixes has 5 MiB. Six times that is a bound for a service that has lost its way; settings
 # may name another one.
@@ -71,7 +71,7 @@
         return _headers.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as wrong:
         expected, path = split_validation_error(wrong)
-        raise Refused(Finding(Reason.SCHEMA, expected, 0, path)) from None
+        raise PlanError(Finding(Reason.SCHEMA, expected, 0, path)) from None
 
 
 def write_header(header: Header) -> bytes:
@@ -91,7 +91,7 @@
         return b"".join(line + b"\n" for line in self.lines)
 
 
-def make_document(id: VersionId, lines: Iterable[Line], state: int, base: int | None = None,
+def make_document(id: VersionId, lines: Iterable[PlanLine], state: int, base: int | None = None,
                   in_force_ms: int = 0) -> Document:
     """Make the document of a full version, or with a base that of a delta."""
     raw = tuple(write_line(line) for line in lines)
--- a/astertrack/versions/offering.py
+++ b/astertrack/versions/offering.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from astertrack.plan import Drop, Line, Plan
-from astertrack.plan.model import Record
+from astertrack.plan import Drop, Plan, PlanLine
+from astertrack.plan.model import Record, kind_of
 from astertrack.versions.model import Document, Report, VersionId, make_document
 
 PLANS_MOST = 32  # latest plans held, from which deltas are made
@@ -19,10 +19,10 @@
 
 def kind_and_key(record: Record) -> tuple[str, str]:
     """Return by what a delta names a record."""
-    return type(record).__name__.lower(), record.key()
+    return kind_of(record), record.key()
 
 
-def difference(old: Plan, new: Plan) -> list[Line]:
+def difference(old: Plan, new: Plan) -> list[PlanLine]:
     """Return the lines that make the new plan of the old one: what is gone first, for a prefix may change its kind."""
     before = {kind_and_key(record): record for record in old.records()}
     after = {kind_and_key(record): record for record in new.records()}
--- a/astertrack/versions/receiving.py
+++ b/astertrack/versions/receiving.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from enum import Enum
 
-from astertrack.plan import Building, Finding, Plan, Reason, Refused, read_line
+from astertrack.plan import Finding, Plan, PlanBuilder, PlanError, Reason, read_line
 from astertrack.versions.model import LINE_MOST, Header
 
 
@@ -33,7 +33,7 @@
         # What a record was found wrong by, before all has come. It stands only if the text is the one that the
         # service sent: a line spoilt on its way must not brand a sound version.
         self._suspect: Finding | None = None
-        self._building: Building | None = None
+        self._builder: PlanBuilder | None = None
         self._waiting: deque[bytes] = deque()
         self._kept: list[bytes] | None = [] if keep_text else None
         self._digest, self._octets, self._lines = hashlib.sha256(), 0, 0
@@ -44,17 +44,17 @@
     @property
     def started(self) -> bool:
         """Whether checking has begun."""
-        return self._building is not None
+        return self._builder is not None
 
     def start(self, base: Plan | None) -> None:
         """Begin checking, on an empty plan or on the base of a delta."""
-        self._building = Building(base)
+        self._builder = PlanBuilder(base)
 
     def refuse(self, finding: Finding) -> None:
         """Give it up, and let go of all that it holds."""
         self.phase, self.finding = Phase.REFUSED, finding
         self._waiting.clear()
-        self._kept = self._closing = self._building = None
+        self._kept = self._closing = self._builder = None
         self.waiting = 0
 
     def lines(self, lines: list[bytes]) -> None:
@@ -95,23 +95,23 @@
 
     def work(self) -> bool:
         """Do one small piece of checking, of some microseconds; False: there is none to do now."""
-        building = self._building
-        if building is None:
+        builder = self._builder
+        if builder is None:
             return False
         try:
             if self._waiting:
                 line = self._waiting.popleft()
                 self.waiting -= len(line)
-                building.put(read_line(line, building.lines + 1))
+                builder.apply(read_line(line, builder.line_count + 1))
                 return True
             if self.phase is not Phase.WHOLE:
                 return False
             if self._closing is None:
-                self._closing = building.close()
+                self._closing = builder.validate()
             if next(self._closing, self) is self:  # it has ended
-                self._finish(building)
+                self._finish(builder)
             return True
-        except Refused as refused:
+        except PlanError as refused:
             if self.phase is Phase.OPEN:
                 self._suspect = refused.finding
                 self._waiting.clear()
@@ -120,13 +120,13 @@
                 self.refuse(refused.finding)
             return True
 
-    def _finish(self, building: Building) -> None:
-        plan = building.finish()
+    def _finish(self, builder: PlanBuilder) -> None:
+        plan = builder.finish()
         if f"{plan.state:064x}" != self.header.state:
             self.refuse(Finding(Reason.STATE, f"a plan with the digest {self.header.state[:16]}..., as its head says; "
                                                f"it has {plan.state:064x}"[:140]))
             return
-        self.plan, self.phase, self._closing, self._building = plan, Phase.CHECKED, None, None
+        self.plan, self.phase, self._closing, self._builder = plan, Phase.CHECKED, None, None
 
     def text(self) -> tuple[bytes, ...] | None:
         """Return the whole text for the store, in pieces, if it was kept."""
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from astertrack.plan import Plan, build
-from astertrack.plan.model import Barred, Choice, Exchange, Limit, Prefix, Told, Unmatched
+from astertrack.plan.model import Barred, Choice, Exchange, Limit, Prefix, RetryAdvice, Unmatched
 from astertrack.versions import VersionId, make_document
 from astertrack.wire import sse
 from laboratory.control_service import ControlService, endless, events, wrong
@@ -59,7 +59,7 @@
         nodes = {n: await BinaryNode().start() for n in (1, 2, 3)}
         service.publish(VersionId(1, 1), make_plan(Prefix("5", 1), Prefix("55", 2), Barred("9", 700),
                                               Choice(3, direct=False, over=[[2]], any_tandem=False),
-                                              Prefix("7", 3), Told("unmatched", 300)))
+                                              Prefix("7", 3), RetryAdvice("unmatched", 300)))
         async with program(nodes, versions=make_settings(service)) as router:  # type: ignore[arg-type]
             await until(lambda: "in-force" in service.stands(VersionId(1, 1)))
             sip, api = await SipCaller.connect(router.port), await ApiCaller.connect(router.api_port)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -16,7 +16,7 @@
 
 from astertrack.core import Approval, FinalResult, Refusal, Request, RouteConstraint
 from astertrack.parts.versions import PlanPolicy
-from astertrack.plan import Desk, Plan, build
+from astertrack.plan import Plan, PlanEvaluator, build
 from astertrack.plan.model import Choice, Exchange, Limit, Prefix
 from astertrack.versions import Rules, VersionId, Versions, make_document, write_header
 from ospreylug import interface as io
@@ -217,7 +217,7 @@
 def harness_with_plan(*plans: Plan) -> tuple[RouterHarness, Versions, PlanPolicy]:
     """A harness with a plan policy and the first of these plans in force."""
     versions = Versions(Rules("n1", "z", 0), random.Random(1))
-    policy = PlanPolicy(versions, Desk("z", 0, random.Random(1)))
+    policy = PlanPolicy(versions, PlanEvaluator("z", 0, random.Random(1)))
     harness = RouterHarness((policy,))
     versions.restore(VersionId(1, 1), plans[0], harness.now)
     return harness, versions, policy
@@ -270,7 +270,7 @@
     harness, _, policy = harness_with_plan(plan(Limit("one", in_hand=1)))
     for end in ("cancel", "refused", "timeout", "hang up", "ended"):
         harness.offer(end)
-        assert policy.desk.in_hand["one"] == 1
+        assert policy.evaluator.in_hand["one"] == 1
         harness.offer(f"{end} too")
         assert harness.waits[f"{end} too"] > 0
         if end == "cancel":
@@ -285,4 +285,4 @@
                 harness.peer_ends(end, io.Outcome.OK)
             else:
                 harness.router.release_call(end, 16)
-        assert not policy.desk.in_hand
+        assert not policy.evaluator.in_hand
