--- a/astertrack/net/control.py
+++ b/astertrack/net/control.py
@@ -20,7 +20,17 @@
 from astertrack.core.model import Timer
 from astertrack.net.base import StreamProtocol, failed_as
 from astertrack.net.clock import ReactorClock
-from astertrack.versions import Action, AskFull, Keep, Note, Outbox, Point, Report, Tell, Versions
+from astertrack.versions import (
+    Action,
+    LogEvent,
+    Outbox,
+    Report,
+    RequestFullVersion,
+    SendReport,
+    SetCurrentVersion,
+    StoreVersion,
+    VersionManager,
+)
 from astertrack.versions.offering import write_reports
 from astertrack.wire import control, http
 from astertrack.wire.common import Malformed
@@ -151,8 +161,8 @@
 class ControlClient:
     """Keeps reading versions and reporting their states, until it is stopped."""
 
-    def __init__(self, address: str, router: str, versions: Versions, clock: ReactorClock, counts: Counter[str],
-                 source: random.Random, store: Callable[[Keep | Point], None]) -> None:
+    def __init__(self, address: str, router: str, versions: VersionManager, clock: ReactorClock, counts: Counter[str],
+                 source: random.Random, store: Callable[[StoreVersion | SetCurrentVersion], None]) -> None:
         self.address, self.router, self.versions, self.clock, self.counts = address, router, versions, clock, counts
         self.store, self._random = store, source
         self.outbox = Outbox(source)
@@ -261,7 +271,7 @@
         self.stream = None
         if self._unresponsive_timer is not None:
             self._unresponsive_timer.cancel()
-        self.versions.broken()
+        self.versions.stream_lost()
         self.execute_actions()
         if self.clock.now_us() - self._connected_us > HEALTHY_STREAM_US:
             self._failures = 0
@@ -280,11 +290,11 @@
         now = self.clock.now_us()
         match event:
             case control.VersionHead(raw):
-                self.versions.header(raw, now)
+                self.versions.receive_header(raw, now)
             case control.VersionRecords(lines):
-                self.versions.lines(lines)
+                self.versions.receive_lines(lines)
             case control.VersionEnd():
-                self.versions.end(now)
+                self.versions.receive_end(now)
                 # A stream that delivers versions is worth redialling soon even if it breaks off: with the full backoff,
                 # four breaks in ten seconds kept a router away for eleven.
                 self._failures = min(self._failures, MAX_FAILURES_AFTER_VERSION)
@@ -299,12 +309,12 @@
     def schedule_work(self) -> None:
         """Schedule checking if there is anything to check; pause reading while much waits to be checked."""
         if self.stream is not None:
-            if self.versions.waiting > PAUSE_READING_BYTES:
+            if self.versions.unchecked_bytes > PAUSE_READING_BYTES:
                 self.stream.set_paused(True)
-            elif self.stream.is_paused and self.versions.waiting < RESUME_READING_BYTES:
+            elif self.stream.is_paused and self.versions.unchecked_bytes < RESUME_READING_BYTES:
                 self.stream.set_paused(False)
                 self.restart_unresponsive_timer()
-        if self.versions.busy and not self._work_scheduled:
+        if self.versions.has_work and not self._work_scheduled:
             self._work_scheduled = True
             self.clock.reactor.callLater(0, self._work)
 
@@ -322,7 +332,7 @@
         """Do a few steps of checking, and return whether there may be more to do now."""
         for _ in range(STEPS_PER_CLOCK_READ):
             in_force, start_s = self.versions.in_force, time.perf_counter()
-            if not self.versions.work(now_us):
+            if not self.versions.run_step(now_us):
                 return False
             if self.versions.in_force is not in_force:  # this step put a version in force
                 self.swap_durations_us.append(int((time.perf_counter() - start_s) * 1e6))
@@ -331,29 +341,29 @@
 
     def execute_actions(self) -> None:
         """Execute the actions that the versions request."""
-        for action in self.versions.take():
+        for action in self.versions.take_actions():
             self._execute(action)
 
     def _execute(self, action: Action) -> None:
         match action:
-            case Tell(report):
+            case SendReport(report):
                 if self.address:
                     self.outbox.add(report)
-            case Keep() | Point():
+            case StoreVersion() | SetCurrentVersion():
                 self.store(action)
-            case AskFull():
+            case RequestFullVersion():
                 self._full_requested = True
                 self.counts["control_asked_full"] += 1
                 if self.stream is not None:
                     # Not while the stream's own data is being processed; the rest of that data is of no use now.
                     self.clock.reactor.callLater(0, self.stream.drop)
-            case Note(event, values):
+            case LogEvent(event, values):
                 log.info(event, **dict(values))
 
     # ---- status
 
     def _send_reports(self) -> None:
-        batch = self.outbox.batch(self.clock.now_us())
+        batch = self.outbox.take_batch(self.clock.now_us())
         if not batch:
             return
         self.counts["control_status_sent"] += 1
@@ -372,11 +382,11 @@
         """Process the HTTP status of the response to a batch; 0 means that there was none."""
         if 200 <= status < 300:
             self.counts["control_reports_heard"] += len(batch)
-            self.outbox.heard(batch)
+            self.outbox.acknowledge(batch)
         elif status == 400:  # it would be rejected the next time, too
             self.counts["control_reports_unreadable"] += len(batch)
             log.warning("control service rejected reports as malformed", reports=len(batch))
-            self.outbox.heard(batch)
+            self.outbox.acknowledge(batch)
         else:
             self.counts["control_status_failed"] += 1
-            self.outbox.failed(self.clock.now_us())
+            self.outbox.delivery_failed(self.clock.now_us())
--- a/astertrack/net/versionserver.py
+++ b/astertrack/net/versionserver.py
@@ -16,7 +16,7 @@
 from astertrack.net.base import StreamProtocol
 from astertrack.net.clock import ReactorClock
 from astertrack.versions import Document, Report, VersionId, write_header
-from astertrack.versions.offering import Catalogue, Ledger, read_reports
+from astertrack.versions.offering import Catalogue, ReportLog, read_reports
 from astertrack.wire import control, http
 from astertrack.wire.common import Malformed
 
@@ -73,7 +73,7 @@
         elif message.target == control.STATUS_PATH and message.method == "POST":
             self._on_status(message.body)
         elif message.target == control.STATUS_PATH and message.method == "GET":
-            self._respond(200, "OK", msgspec.json.encode(list(self.service.ledger.rows())))
+            self._respond(200, "OK", msgspec.json.encode(list(self.service.ledger.latest_reports())))
         else:
             self._respond(404, "Not Found", b"no such thing here")
 
@@ -93,7 +93,7 @@
 
     def send_next(self, full: bool = False) -> None:
         """Send the version that follows the one sent last, if there is one."""
-        document = self.service.catalogue.next_for(self.last_sent, full)
+        document = self.service.catalogue.document_for(self.last_sent, full)
         if document is not None:
             self.last_sent = str(document.header.id)
             self.send_version(document)
@@ -135,7 +135,7 @@
     noisy = False
 
     def __init__(self, catalogue: Catalogue, clock: ReactorClock) -> None:
-        self.catalogue, self.clock, self.ledger = catalogue, clock, Ledger()
+        self.catalogue, self.clock, self.ledger = catalogue, clock, ReportLog()
         self.counts: Counter[str] = Counter()
         self.connections: set[RouterConnection] = set()
         self.streams: set[RouterConnection] = set()
@@ -161,6 +161,6 @@
 
     def record_reports(self, reports: list[Report]) -> None:
         """Record a router's reports, and log the new ones."""
-        for report in self.ledger.hear(reports):
+        for report in self.ledger.add(reports):
             log.info("report", router=report.router, version=f"{report.epoch}.{report.number}", stand=report.stand,
                      reason=report.reason, path=report.path, expected=report.expected)
--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -26,14 +26,14 @@
 from astertrack.plan.files import read_plan
 from astertrack.store.versions import VersionFiles
 from astertrack.versions import (
+    ActiveVersion,
+    CallOutcome,
     Header,
-    InForce,
-    Keep,
-    Outcome,
-    Point,
-    Rules,
+    SetCurrentVersion,
+    StoreVersion,
     VersionId,
-    Versions,
+    VersionManager,
+    VersionSettings,
     make_document,
     write_header,
 )
@@ -116,7 +116,7 @@
 class _Token:
     """What the policy keeps of a call: its version from its first moment on."""
 
-    version: InForce
+    version: ActiveVersion
     passed: PlanAdmission
     dest: int  # as its caller gave it
 
@@ -127,12 +127,12 @@
     name = "plan"
     fail_closed = False
 
-    def __init__(self, versions: Versions, evaluator: PlanEvaluator) -> None:
+    def __init__(self, versions: VersionManager, evaluator: PlanEvaluator) -> None:
         self.versions, self.evaluator = versions, evaluator
 
     def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
         """Resolve, narrow or refuse a call by the version in force at this instant."""
-        version = self.versions.due(now_us)
+        version = self.versions.activate_due(now_us)
         if version is None:
             return Refusal("no-plan", NO_PLAN_WAIT_US) if request.dest < 0 else None
         dest = request.dest
@@ -158,10 +158,11 @@
         if isinstance(token, _Token) and final is not FinalResult.CANCELLED and not request.transit:
             self._outcome(token.version, request, token.dest, now_us, final is not FinalResult.ANSWERED)
 
-    def _outcome(self, version: InForce, request: Request, dest: int, now_us: int, failed: bool) -> None:
+    def _outcome(self, version: ActiveVersion, request: Request, dest: int, now_us: int, failed: bool) -> None:
         exchange = version.plan.records_of("exchange").get(str(request.dest))
         zone = exchange.zone if exchange is not None else ""
-        self.versions.outcome(version.id, Outcome(request.number, dest, request.service_name, zone, now_us, failed))
+        self.versions.record_outcome(
+            version.id, CallOutcome(request.number, dest, request.service_name, zone, now_us, failed))
 
     def over(self, token: object, request: Request, now_us: int) -> None:
         """Its limits have room again."""
@@ -179,7 +180,7 @@
         zones, at = config.zones, config.settings.zone
         zone = zones[at] if 0 <= at < len(zones) else ""
         self.source = random.Random(config.seed)
-        self.versions = Versions(Rules(config.name, zone, int(settings.probation.seconds * 1e6),
+        self.versions = VersionManager(VersionSettings(config.name, zone, int(settings.probation.seconds * 1e6),
                                        settings.limits.octets, bool(settings.store.folder)), self.source)
         self.files = VersionFiles(Path(settings.store.folder)) if settings.store.folder else None
         if self.files is not None:
@@ -219,10 +220,10 @@
         assert self.router is not None
         now = self.router.now_us()
         document = make_document(id, plan.records(), plan.state, in_force_ms=in_force_ms)
-        self.versions.header(write_header(document.header), now)
-        self.versions.lines(list(document.lines))
-        self.versions.end(now)
-        while self.versions.work(now):
+        self.versions.receive_header(write_header(document.header), now)
+        self.versions.receive_lines(list(document.lines))
+        self.versions.receive_end(now)
+        while self.versions.run_step(now):
             pass
         self.client.execute_actions()
 
@@ -251,7 +252,7 @@
         counts.update({name: value - counts[name] for name, value in self.versions.counts.items()})
         counts["control_longest_turn_us"] = client.longest_turn_us
         counts["control_reports_waiting"] = len(client.outbox)
-        counts["control_reports_lost"] = client.outbox.lost
+        counts["control_reports_lost"] = client.outbox.dropped
         if client.swap_durations_us:
             counts["versions_swap_p99_us"] = sorted(client.swap_durations_us)[
                 int(0.99 * (len(client.swap_durations_us) - 1))]
@@ -271,24 +272,24 @@
             for zone, links in up.items():
                 if links.count(False) >= CUT_SHARE * len(links):
                     zones = self.context.config.zones
-                    self.versions.disturbed(zones[zone] if 0 <= zone < len(zones) else "")
+                    self.versions.mark_disturbed(zones[zone] if 0 <= zone < len(zones) else "")
         self.context.clock.call_at(self.context.clock.now_us() + TICK_INTERVAL_US, self._watch)
 
     # ---- the store
 
-    def _store(self, action: Keep | Point) -> None:
+    def _store(self, action: StoreVersion | SetCurrentVersion) -> None:
         """Write in a thread, one thing after the other; a disk that fails or is slow costs no call."""
         files = self.files
         if files is None:
             return
-        if isinstance(action, Keep):
-            self._in_thread("keep", lambda: files.keep(action.header, action.text))
+        if isinstance(action, StoreVersion):
+            self._in_thread("keep", lambda: files.save(action.header, action.text))
             return
         id = action.id
-        if files.long(id) and self.versions.in_force is not None and self.versions.in_force.id == id:
+        if files.chain_too_long(id) and self.versions.in_force is not None and self.versions.in_force.id == id:
             self._write_whole(id, self.versions.in_force.plan)
         else:
-            self._in_thread("point", lambda: files.point(id))
+            self._in_thread("point", lambda: files.set_current(id))
 
     def _in_thread(self, what: str, do: Callable[[], bool]) -> None:
         pool = self.context.reactor.getThreadPool()
@@ -316,8 +317,8 @@
                 self.context.reactor.callLater(0, some, records)
             elif (files := self.files) is not None:
                 header = Header(id.epoch, id.number, counted[0], counted[1], digest_of(pieces), f"{plan.state:064x}")
-                self._in_thread("keep", lambda: files.keep(header, pieces))
-                self._in_thread("point", lambda: files.point(id))
+                self._in_thread("keep", lambda: files.save(header, pieces))
+                self._in_thread("point", lambda: files.set_current(id))
 
         some(plan.records())
 
--- a/astertrack/store/versions.py
+++ b/astertrack/store/versions.py
@@ -20,8 +20,8 @@
 from astertrack.plan import Plan, PlanBuilder, PlanError, read_line
 from astertrack.versions import Header, VersionId, read_header, write_header
 
-POINTER, BEFORE = "current", "previous"
-CHAIN_MOST = 64  # deltas on one full version; beyond that a full one is written
+CURRENT_POINTER, PREVIOUS_POINTER = "current", "previous"
+MAX_CHAIN_DELTAS = 64  # deltas on one full version; beyond that a full one is written
 
 
 class StoreError(Exception):
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class StoredVersion:
     """What the store had."""
 
     id: VersionId
@@ -85,7 +85,7 @@
         sync_folder(self.folder)
         return digest.hexdigest()
 
-    def keep(self, header: Header, text: Iterable[bytes]) -> bool:
+    def save(self, header: Header, text: Iterable[bytes]) -> bool:
         """Write an accepted version, whose text may come in pieces of any size.
 
         False: it is a delta on one that is not here, and cannot be kept.
@@ -102,19 +102,19 @@
         self._chains[header.id] = [*before, _Link(name, digest)]
         return True
 
-    def long(self, id: VersionId) -> bool:
+    def chain_too_long(self, id: VersionId) -> bool:
         """Whether a version stands on so many deltas that it should be written whole."""
-        return len(self._chains.get(id, ())) > CHAIN_MOST
+        return len(self._chains.get(id, ())) > MAX_CHAIN_DELTAS
 
-    def point(self, id: VersionId) -> bool:
+    def set_current(self, id: VersionId) -> bool:
         """Make a version the one that is served at a start; False: it is not here."""
         chain = self._chains.get(id)
         if chain is None:
             return False
-        current = self.folder / POINTER
+        current = self.folder / CURRENT_POINTER
         if current.exists():
-            self._write(BEFORE, (current.read_bytes(),))
-        self._write(POINTER, (msgspec.json.encode(_Pointer(id.epoch, id.number, chain)),))
+            self._write(PREVIOUS_POINTER, (current.read_bytes(),))
+        self._write(CURRENT_POINTER, (msgspec.json.encode(_Pointer(id.epoch, id.number, chain)),))
         self._clean(id)
         return True
 
@@ -122,7 +122,7 @@
         """Remove the files that neither pointer names and no later version stands on."""
         self._chains = {held: chain for held, chain in self._chains.items() if held >= id}
         wanted = {link.file for chain in self._chains.values() for link in chain}
-        for pointer in (POINTER, BEFORE):
+        for pointer in (CURRENT_POINTER, PREVIOUS_POINTER):
             with contextlib.suppress(OSError, msgspec.DecodeError):
                 wanted |= {link.file for link in self._read_pointer(pointer).chain}
         for path in self.folder.iterdir():
@@ -133,10 +133,10 @@
     def _read_pointer(self, name: str) -> _Pointer:
         return msgspec.json.decode((self.folder / name).read_bytes(), type=_Pointer)
 
-    def load(self) -> tuple[Kept | None, list[str]]:
+    def load(self) -> tuple[StoredVersion | None, list[str]]:
         """Return the last good version, or the one before if that is spoilt; and what was wrong on the way."""
         wrong: list[str] = []
-        for name in (POINTER, BEFORE):
+        for name in (CURRENT_POINTER, PREVIOUS_POINTER):
             if not (self.folder / name).exists():
                 continue
             try:
@@ -147,7 +147,7 @@
                 continue
             id = VersionId(pointer.epoch, pointer.number)
             self._chains[id] = pointer.chain
-            return Kept(id, plan), wrong
+            return StoredVersion(id, plan), wrong
         return None, wrong
 
     def _build(self, pointer: _Pointer) -> Plan:
--- a/astertrack/versions/__init__.py
+++ b/astertrack/versions/__init__.py
@@ -9,27 +9,27 @@
 plans; a version in force for one instant is another one when asked again for the same instant.
 """
 
-from astertrack.versions.machine import Rules, Versions
+from astertrack.versions.machine import VersionManager, VersionSettings
 from astertrack.versions.model import (
     Action,
-    AskFull,
+    ActiveVersion,
     Document,
     Header,
-    InForce,
-    Keep,
-    Note,
-    Point,
+    LogEvent,
     Report,
-    Stand,
-    Tell,
+    RequestFullVersion,
+    SendReport,
+    SetCurrentVersion,
+    StoreVersion,
     VersionId,
+    VersionState,
     make_document,
     read_header,
     write_header,
 )
-from astertrack.versions.probation import Judgement, Outcome, Probation
+from astertrack.versions.probation import CallOutcome, Probation, Verdict
 from astertrack.versions.reports import Outbox
 
-__all__ = ["Action", "AskFull", "Document", "Header", "InForce", "Judgement", "Keep", "Note", "Outbox", "Outcome",
-           "Point", "Probation", "Report", "Rules", "Stand", "Tell", "VersionId", "Versions", "make_document",
-           "read_header", "write_header"]
+__all__ = ["Action", "ActiveVersion", "CallOutcome", "Document", "Header", "LogEvent", "Outbox", "Probation", "Report",
+           "RequestFullVersion", "SendReport", "SetCurrentVersion", "StoreVersion", "Verdict", "VersionId",
+           "VersionManager", "VersionSettings", "VersionState", "make_document", "read_header", "write_header"]
--- a/astertrack/versions/model.py
+++ b/astertrack/versions/model.py
@@ -16,8 +16,8 @@
 
 # A version of 100,000 prefixes has 5 MiB. Six times that is a bound for a service that has lost its way; settings
 # may name another one.
-OCTETS_MOST = 32 * 2**20
-LINE_MOST = 4 * 1024  # octets of one record; the longest sound one, a choice over 64 tandems, has under 1,000
+MAX_VERSION_BYTES = 32 * 2**20
+MAX_LINE_BYTES = 4 * 1024  # octets of one record; the longest sound one, a choice over 64 tandems, has under 1,000
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -103,7 +103,7 @@
                            "full" if base is None else "delta", base, in_force_ms), raw)
 
 
-class Stand(Enum):
+class VersionState(Enum):
     """What is reported of a version."""
 
     ACCEPTED = "accepted"
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class ActiveVersion:
     """The version that calls follow from an instant on."""
 
     id: VersionId
@@ -144,14 +144,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendReport:
     """Report to the service until it has been heard."""
 
     report: Report
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class StoreVersion:
     """Write an accepted version to the store, where there is one. Its text comes in the pieces in which it came.
 
     Few large pieces, not lines: a thread that handled 100,000 of those would keep the program's lock from the calls.
@@ -162,23 +162,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Point:
+class SetCurrentVersion:
     """Make this version the one that the store serves at a start."""
 
     id: VersionId
 
 
 @dataclass(frozen=True, slots=True)
-class AskFull:
+class RequestFullVersion:
     """Ask the service for a full version: what it sends builds on something that is not here."""
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogEvent:
     """A line for the log."""
 
     event: str
     values: tuple[tuple[str, object], ...] = ()
 
 
-Action = Tell | Keep | Point | AskFull | Note
+Action = SendReport | StoreVersion | SetCurrentVersion | RequestFullVersion | LogEvent
--- a/astertrack/versions/offering.py
+++ b/astertrack/versions/offering.py
@@ -62,7 +62,7 @@
             self._published.popitem(last=False)
         self._full, self._deltas = None, {}
 
-    def next_for(self, after: str, full: bool) -> Document | None:
+    def document_for(self, after: str, full: bool) -> Document | None:
         """Return what a router that has accepted a version is sent; None: nothing is newer."""
         latest = self.latest
         if latest is None or (after == str(latest.id) and not full):
@@ -85,16 +85,16 @@
         return self._full
 
 
-class Ledger:
+class ReportLog:
     """What routers have reported; a report heard twice counts once."""
 
     def __init__(self) -> None:
         self._seen: OrderedDict[tuple[str, str, int], None] = OrderedDict()
-        self.stands: dict[tuple[str, VersionId], Report] = {}  # latest of each router and version
+        self.latest: dict[tuple[str, VersionId], Report] = {}  # latest of each router and version
         self.in_force: dict[str, Report] = {}  # by router
         self.repeated = 0
 
-    def hear(self, reports: list[Report]) -> list[Report]:
+    def add(self, reports: list[Report]) -> list[Report]:
         """Take a batch; return those that are new."""
         new = []
         for report in reports:
@@ -106,18 +106,18 @@
             if len(self._seen) > SEEN_MOST:
                 self._seen.popitem(last=False)
             id = VersionId(report.epoch, report.number)
-            self.stands[report.router, id] = report
+            self.latest[report.router, id] = report
             if report.stand in ("in-force", "settled"):
                 self.in_force[report.router] = report
             new.append(report)
-        if len(self.stands) > SEEN_MOST:
-            for name_id in list(self.stands)[:len(self.stands) - SEEN_MOST]:
-                del self.stands[name_id]
+        if len(self.latest) > SEEN_MOST:
+            for name_id in list(self.latest)[:len(self.latest) - SEEN_MOST]:
+                del self.latest[name_id]
         return new
 
-    def rows(self) -> Iterator[Report]:
+    def latest_reports(self) -> Iterator[Report]:
         """Yield the latest stand of each router and version, the newest version first."""
-        yield from sorted(self.stands.values(), key=lambda r: (-r.epoch, -r.number, r.router))
+        yield from sorted(self.latest.values(), key=lambda r: (-r.epoch, -r.number, r.router))
 
 
 _reports = msgspec.json.Decoder(list[Report])
--- a/astertrack/versions/probation.py
+++ b/astertrack/versions/probation.py
@@ -25,7 +25,7 @@
 from statistics import NormalDist
 
 ALPHA = 0.001  # chance that a version that does no harm is taken back, however often it is looked at (ours)
-LOOKS = 5  # times that a version is looked at (ours)
+MAX_EVALUATIONS = 5  # times that a version is looked at (ours)
 WORSE_LEAST = 0.05  # the share of failures must have grown by so much: less is not worth a roll-back (ours)
 CALLS_LEAST = 20  # touched calls before and since, fewer of which decide nothing (ours)
 COMPARED_LEAST = 20  # untouched calls before and since, fewer of which are no comparison (ours)
@@ -34,7 +34,7 @@
 EXTENDED = 3  # periods after which a version that could not be judged stays (ours)
 
 
-class Judgement(Enum):
+class Verdict(Enum):
     """What became of a probation."""
 
     OPEN = "open"
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class CallOutcome:
     """A call's end, as far as a version could be to blame for it."""
 
     number: str
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class ProbationStatistics:
     """What a judgement rests on."""
 
     z: float
@@ -68,51 +68,51 @@
 
 def critical_z() -> float:
     """Return what z must pass at one look."""
-    return NormalDist().inv_cdf(1 - ALPHA / LOOKS)
+    return NormalDist().inv_cdf(1 - ALPHA / MAX_EVALUATIONS)
 
 
 class Probation:
-    """One version on probation. Outcomes come in, those of before first; look() judges."""
+    """One version on probation. Outcomes come in, those of before first; evaluate() judges."""
 
     def __init__(self, since_us: int, period_us: int) -> None:
         self.since_us, self.period_us = since_us, period_us
         # Finals by zone, whether touched, whether since, and whether failed.
         self.cells: Counter[tuple[str, bool, bool, bool]] = Counter()
-        self.disturbed: set[str] = set()
+        self.disturbed_zones: set[str] = set()
         self._before_us: tuple[int, int] | None = None  # first and last of the calls before
         self._calls: Counter[bool] = Counter()  # by whether since
-        self.looks = 0
+        self.evaluations = 0
 
-    def before(self, outcome: Outcome, touched: bool) -> None:
+    def add_before(self, outcome: CallOutcome, touched: bool) -> None:
         """Take the end of a call that followed the version before."""
         first = self._before_us[0] if self._before_us is not None else outcome.at_us
         self._before_us = (min(first, outcome.at_us), max(outcome.at_us, first))
         self.cells[outcome.zone, touched, False, outcome.failed] += 1
         self._calls[False] += 1
 
-    def since(self, outcome: Outcome, touched: bool) -> None:
+    def add_since(self, outcome: CallOutcome, touched: bool) -> None:
         """Take the end of a call that follows this version."""
         self.cells[outcome.zone, touched, True, outcome.failed] += 1
         self._calls[True] += 1
 
-    def next_look_us(self) -> int:
+    def next_evaluation_us(self) -> int:
         """Return when to look next."""
-        return self.since_us + (self.looks + 1) * self.period_us // LOOKS
+        return self.since_us + (self.evaluations + 1) * self.period_us // MAX_EVALUATIONS
 
-    def look(self, now_us: int) -> tuple[Judgement, Figures]:
+    def evaluate(self, now_us: int) -> tuple[Verdict, ProbationStatistics]:
         """Judge by what is known now; counts as one of the looks."""
-        self.looks += 1
+        self.evaluations += 1
         figures = self._figures(now_us)
         if figures.z > critical_z() and figures.since - figures.before >= WORSE_LEAST:
-            return Judgement.WORSE, figures
-        if self.looks < LOOKS:
-            return Judgement.OPEN, figures
+            return Verdict.WORSE, figures
+        if self.evaluations < MAX_EVALUATIONS:
+            return Verdict.OPEN, figures
         # Without calls to judge by, it waits on; every further look is one more chance to err, so it takes none.
         enough = figures.calls >= CALLS_LEAST and figures.zones > 0
         if enough:
-            return Judgement.KEPT, figures
+            return Verdict.KEPT, figures
         late = now_us - self.since_us >= EXTENDED * self.period_us
-        return (Judgement.UNDECIDED if late or not self._touches() else Judgement.OPEN), figures
+        return (Verdict.UNDECIDED if late or not self._touches() else Verdict.OPEN), figures
 
     def _touches(self) -> bool:
         return any(touched for _, touched, _, _ in self.cells)
@@ -126,7 +126,7 @@
         expected = self._calls[False] / before_s * since_s
         return self._calls[True] > SURGE * expected + 2 * math.sqrt(SURGE * expected + 1)
 
-    def _figures(self, now_us: int) -> Figures:
+    def _figures(self, now_us: int) -> ProbationStatistics:
         weight = total = 0.0
         zones = 0
         surge = self._surge(now_us)
@@ -139,7 +139,7 @@
             if min(sum(compared[0]), sum(compared[1])) >= COMPARED_LEAST:
                 other, more = self._log_odds_ratio(compared)
                 theta, variance = theta - other, variance + more
-            elif surge or zone in self.disturbed:
+            elif surge or zone in self.disturbed_zones:
                 continue
             weight += 1 / variance
             total += theta / variance
@@ -147,7 +147,7 @@
         before, since = (self._share(since) for since in (False, True))
         calls = {since: sum(n for (_, t, s, _), n in self.cells.items() if t and s is since) for since in (False, True)}
         enough = zones and min(calls.values()) >= CALLS_LEAST
-        return Figures(total / math.sqrt(weight) if enough else 0.0, before, since, calls[True], zones)
+        return ProbationStatistics(total / math.sqrt(weight) if enough else 0.0, before, since, calls[True], zones)
 
     def _table(self, zone: str, touched: bool) -> tuple[tuple[int, int], tuple[int, int]]:
         """Return (stood, failed) before, and since."""
@@ -167,12 +167,12 @@
         return failed / calls if calls else 0.0
 
 
-class Recent:
+class RecentOutcomes:
     """The latest calls, for the next version to be compared with."""
 
     def __init__(self) -> None:
-        self.outcomes: deque[Outcome] = deque(maxlen=BEFORE_MOST)
+        self.outcomes: deque[CallOutcome] = deque(maxlen=BEFORE_MOST)
 
-    def add(self, outcome: Outcome) -> None:
+    def add(self, outcome: CallOutcome) -> None:
         """Remember a call's end."""
         self.outcomes.append(outcome)
--- a/astertrack/versions/receiving.py
+++ b/astertrack/versions/receiving.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 from astertrack.plan import Finding, Plan, PlanBuilder, PlanError, Reason, read_line
-from astertrack.versions.model import LINE_MOST, Header
+from astertrack.versions.model import MAX_LINE_BYTES, Header
 
 
 class Phase(Enum):
@@ -20,8 +20,8 @@
     REFUSED = "refused"  # `finding` says why
 
 
-class Receiving:
-    """A version being received and checked. Lines are digested as they come and read when work() gets to them.
+class VersionReceiver:
+    """A version being received and checked. Lines are digested as they come and read when run_step() gets to them.
 
     Checking begins with start(): a delta's base may be a version that is still being checked itself.
     """
@@ -39,7 +39,7 @@
         self._digest, self._octets, self._lines = hashlib.sha256(), 0, 0
         self._closing: Iterator[None] | None = None
 
-        self.waiting = 0  # octets of lines that wait to be checked
+        self.unchecked_bytes = 0  # octets of lines that wait to be checked
 
     @property
     def started(self) -> bool:
@@ -55,9 +55,9 @@
         self.phase, self.finding = Phase.REFUSED, finding
         self._waiting.clear()
         self._kept = self._closing = self._builder = None
-        self.waiting = 0
+        self.unchecked_bytes = 0
 
-    def lines(self, lines: list[bytes]) -> None:
+    def receive_lines(self, lines: list[bytes]) -> None:
         """Take lines that came; after a refusal they mean nothing."""
         if self.phase is not Phase.OPEN:
             return
@@ -68,18 +68,18 @@
                 self.refuse(Finding(Reason.LENGTH, f"{self.header.records} records of {self.header.octets} octets, "
                                                     "as its head says, and more came"))
                 return
-            if len(line) > LINE_MOST:
-                self.refuse(Finding(Reason.TOO_LARGE, f"a record of at most {LINE_MOST} octets", self._lines))
+            if len(line) > MAX_LINE_BYTES:
+                self.refuse(Finding(Reason.TOO_LARGE, f"a record of at most {MAX_LINE_BYTES} octets", self._lines))
                 return
             if self._suspect is None:
                 self._waiting.append(line)
-                self.waiting += len(line)
+                self.unchecked_bytes += len(line)
         text = b"\n".join((*lines, b""))
         self._digest.update(text)
         if self._kept is not None:
             self._kept.append(text)
 
-    def end(self) -> None:
+    def receive_end(self) -> None:
         """All has come: compare it with what the head said."""
         if self.phase is not Phase.OPEN:
             return
@@ -93,7 +93,7 @@
         else:
             self.phase = Phase.WHOLE
 
-    def work(self) -> bool:
+    def run_step(self) -> bool:
         """Do one small piece of checking, of some microseconds; False: there is none to do now."""
         builder = self._builder
         if builder is None:
@@ -101,7 +101,7 @@
         try:
             if self._waiting:
                 line = self._waiting.popleft()
-                self.waiting -= len(line)
+                self.unchecked_bytes -= len(line)
                 builder.apply(read_line(line, builder.line_count + 1))
                 return True
             if self.phase is not Phase.WHOLE:
@@ -115,7 +115,7 @@
             if self.phase is Phase.OPEN:
                 self._suspect = refused.finding
                 self._waiting.clear()
-                self.waiting = 0
+                self.unchecked_bytes = 0
             else:
                 self.refuse(refused.finding)
             return True
--- a/benchmarks/config_versions.py
+++ b/benchmarks/config_versions.py
@@ -160,7 +160,7 @@
 
     async def doubled(self) -> None:
         """The latest version once more."""
-        latest = self.service.catalogue.next_for("", True)
+        latest = self.service.catalogue.document_for("", True)
         if latest is not None:
             self.send(latest, set())
 
--- a/laboratory/control_service.py
+++ b/laboratory/control_service.py
@@ -16,7 +16,7 @@
 
 from astertrack.plan import Plan
 from astertrack.versions import Document, Header, Report, VersionId, make_document, write_header
-from astertrack.versions.offering import Catalogue, Ledger, read_reports
+from astertrack.versions.offering import Catalogue, ReportLog, read_reports
 from astertrack.wire import control, http, sse
 
 
@@ -59,7 +59,7 @@
     """The service. `catalogue` answers who connects, as a sound service does; the rest is up to the script."""
 
     catalogue: Catalogue = field(default_factory=Catalogue)
-    ledger: Ledger = field(default_factory=Ledger)
+    ledger: ReportLog = field(default_factory=ReportLog)
     heard: list[Heard] = field(default_factory=list)  # each report once, in the order heard
     streams: list[Stream] = field(default_factory=list)  # all there have been
     answers: str = "hear"  # to status: "hear", "deaf" (503), "mute" (heard, and the connection dies), "hang"
@@ -120,7 +120,7 @@
                     stream = Stream(asked, writer, time.time_ns() // 1000)
                     self.streams.append(stream)
                     writer.write(http.encode_stream_head())
-                    offered = self.catalogue.next_for(asked.after, asked.full) if self.offers else None
+                    offered = self.catalogue.document_for(asked.after, asked.full) if self.offers else None
                     if offered is not None:
                         writer.write(events(offered))
                 else:
@@ -141,7 +141,7 @@
             writer.write(http.encode_response(503, "Service Unavailable"))
         else:
             now = time.time_ns() // 1000
-            self.heard += [Heard(now, report) for report in self.ledger.hear(read_reports(message.body))]
+            self.heard += [Heard(now, report) for report in self.ledger.add(read_reports(message.body))]
             if self.answers == "hear":
                 writer.write(http.encode_response(204, "No Content"))
         with contextlib.suppress(ConnectionError):
@@ -162,7 +162,7 @@
         """Publish a version as a sound service does; returns what those who have the one before were sent."""
         before = self.catalogue.latest
         self.catalogue.publish(id, plan, in_force_ms)
-        document = self.catalogue.next_for(str(before.id) if before is not None and self.deltas else "", False)
+        document = self.catalogue.document_for(str(before.id) if before is not None and self.deltas else "", False)
         assert document is not None
         self.send(document)
         return document
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -18,7 +18,7 @@
 from astertrack.parts.versions import PlanPolicy
 from astertrack.plan import Plan, PlanEvaluator, build
 from astertrack.plan.model import Choice, Exchange, Limit, Prefix
-from astertrack.versions import Rules, VersionId, Versions, make_document, write_header
+from astertrack.versions import VersionId, VersionManager, VersionSettings, make_document, write_header
 from ospreylug import interface as io
 
 Verdict = Callable[[Request], Approval | Refusal | None]
@@ -214,9 +214,9 @@
 # ---- the plan policy
 
 
-def harness_with_plan(*plans: Plan) -> tuple[RouterHarness, Versions, PlanPolicy]:
+def harness_with_plan(*plans: Plan) -> tuple[RouterHarness, VersionManager, PlanPolicy]:
     """A harness with a plan policy and the first of these plans in force."""
-    versions = Versions(Rules("n1", "z", 0), random.Random(1))
+    versions = VersionManager(VersionSettings("n1", "z", 0), random.Random(1))
     policy = PlanPolicy(versions, PlanEvaluator("z", 0, random.Random(1)))
     harness = RouterHarness((policy,))
     versions.restore(VersionId(1, 1), plans[0], harness.now)
@@ -234,10 +234,10 @@
     next_plan = plan(Prefix("5", 2))
     document = make_document(VersionId(1, 2), next_plan.records(), next_plan.state,
                              in_force_ms=(harness.now + 3 * SECOND) // 1000)
-    versions.header(write_header(document.header), harness.now)
-    versions.lines(list(document.lines))
-    versions.end(harness.now)
-    while versions.work(harness.now):
+    versions.receive_header(write_header(document.header), harness.now)
+    versions.receive_lines(list(document.lines))
+    versions.receive_end(harness.now)
+    while versions.run_step(harness.now):
         pass
     harness.call_at(harness.now + 3 * SECOND, lambda: versions.tick(harness.now))
     deadline = harness.now + 3 * SECOND
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -16,24 +16,24 @@
 
 from astertrack.plan import Drop, Plan, build
 from astertrack.plan.model import Barred, Choice, Exchange, Prefix
-from astertrack.store.versions import BEFORE, CHAIN_MOST, POINTER, VersionFiles
+from astertrack.store.versions import CURRENT_POINTER, MAX_CHAIN_DELTAS, PREVIOUS_POINTER, VersionFiles
 from astertrack.versions import (
-    AskFull,
+    CallOutcome,
     Document,
-    Keep,
-    Outcome,
-    Point,
     Report,
-    Rules,
-    Tell,
+    RequestFullVersion,
+    SendReport,
+    SetCurrentVersion,
+    StoreVersion,
     VersionId,
-    Versions,
+    VersionManager,
+    VersionSettings,
     make_document,
     write_header,
 )
-from astertrack.versions.offering import Catalogue, Ledger, difference, read_reports, write_reports
-from astertrack.versions.probation import LOOKS, Judgement, Probation
-from astertrack.versions.reports import BATCH_MOST, WAITING_MOST, Outbox
+from astertrack.versions.offering import Catalogue, ReportLog, difference, read_reports, write_reports
+from astertrack.versions.probation import MAX_EVALUATIONS, Probation, Verdict
+from astertrack.versions.reports import MAX_BATCH_REPORTS, MAX_PENDING_REPORTS, Outbox
 
 SECOND = 1_000_000
 EXCHANGES = [Exchange(1, "casablanca"), Exchange(2, "fes"), Exchange(3, "fes")]
@@ -56,26 +56,26 @@
     """Feeds a Versions and keeps what it asks for."""
 
     def __init__(self, probation_us: int = 0, keep: bool = False, octets: int = 1 << 20) -> None:
-        self.versions = Versions(Rules("n1", "fes", probation_us, octets, keep), random.Random(1))
+        self.versions = VersionManager(VersionSettings("n1", "fes", probation_us, octets, keep), random.Random(1))
         self.now = 0
         self.actions: list[Any] = []
 
     def send(self, sent: Document, end: bool = True, lines: list[bytes] | None = None, piece: int = 3) -> None:
         """Send a version as the wire brings it, and check it."""
-        self.versions.header(write_header(sent.header), self.now)
+        self.versions.receive_header(write_header(sent.header), self.now)
         given = list(sent.lines) if lines is None else lines
         for at in range(0, len(given), piece):
-            self.versions.lines(given[at:at + piece])
-            self.versions.work(self.now)
+            self.versions.receive_lines(given[at:at + piece])
+            self.versions.run_step(self.now)
         if end:
-            self.versions.end(self.now)
+            self.versions.receive_end(self.now)
         self.check()
 
     def check(self) -> None:
         """Check all that can be checked."""
-        while self.versions.work(self.now):
+        while self.versions.run_step(self.now):
             pass
-        self.actions += self.versions.take()
+        self.actions += self.versions.take_actions()
 
     def pass_time(self, to_us: int) -> None:
         """Let time pass in steps of 100 ms."""
@@ -86,19 +86,19 @@
 
     def reports(self, number: int | None = None) -> list[str]:
         """What was reported, of one version or as "number stand" of all."""
-        told = [a.report for a in self.actions if isinstance(a, Tell)]
+        told = [a.report for a in self.actions if isinstance(a, SendReport)]
         return [r.stand if number is not None else f"{r.number} {r.stand}" for r in told
                 if number is None or r.number == number]
 
     def reason(self, number: int) -> str:
         """Why a version was refused last."""
         return next(a.report.reason for a in reversed(self.actions)
-                    if isinstance(a, Tell) and a.report.number == number and a.report.reason)
+                    if isinstance(a, SendReport) and a.report.number == number and a.report.reason)
 
     @property
     def in_force(self) -> str:
         """Which version is in force now."""
-        version = self.versions.due(self.now)
+        version = self.versions.activate_due(self.now)
         return str(version.id) if version is not None else ""
 
 
@@ -129,7 +129,7 @@
         raw = Document(sent.header, (*sent.lines, line))
         whole = make_raw(number, raw.lines)
         control.send(whole)
-        told = next(a.report for a in reversed(control.actions) if isinstance(a, Tell))
+        told = next(a.report for a in reversed(control.actions) if isinstance(a, SendReport))
         assert (told.reason, told.path, told.line) == (reason, path, len(raw.lines))
         assert control.in_force == ""
 
@@ -155,7 +155,7 @@
     assert control.reason(2) == "two-contents"
     control.send(document(3, plans[3]))
     assert control.in_force == "1.3"
-    sequence = [a.report.seq for a in control.actions if isinstance(a, Tell)]
+    sequence = [a.report.seq for a in control.actions if isinstance(a, SendReport)]
     assert sequence == sorted(set(sequence))
 
 
@@ -178,7 +178,7 @@
     control.send(document(3, third, base=second, of=2))
     control.send(document(3, third, base=second, of=2))
     assert control.reason(3) == "base-missing"
-    assert sum(isinstance(a, AskFull) for a in control.actions) == 1
+    assert sum(isinstance(a, RequestFullVersion) for a in control.actions) == 1
     control.send(document(3, third))  # the full one comes under the same number
     assert control.in_force == "1.3"
     control.send(document(4, second, base=third, of=3))
@@ -191,9 +191,9 @@
     control = Control()
     first, second = plan(Prefix("5", 1)), plan(Prefix("5", 2), Prefix("6", 2))
     for sent in (document(1, first), document(2, second, base=first, of=1)):
-        control.versions.header(write_header(sent.header), 0)
-        control.versions.lines(list(sent.lines))
-        control.versions.end(0)
+        control.versions.receive_header(write_header(sent.header), 0)
+        control.versions.receive_lines(list(sent.lines))
+        control.versions.receive_end(0)
     control.check()
     assert control.reports() == ["1 accepted", "1 in-force", "1 settled", "2 accepted", "1 superseded", "2 in-force",
                                  "2 settled"]
@@ -206,7 +206,7 @@
     wrong = make_document(VersionId(1, 2), [Drop("prefix", "5")], first.state, 1)
     control.send(wrong)
     assert control.reason(2) == "state"
-    assert any(isinstance(a, AskFull) for a in control.actions)
+    assert any(isinstance(a, RequestFullVersion) for a in control.actions)
     control.send(document(2, first))
     assert control.in_force == "1.2"
 
@@ -216,10 +216,10 @@
     sent = document(1, plan(*(Prefix(f"5{n}", 1) for n in range(9))))
     for cut in range(len(sent.lines)):
         control.send(sent, end=False, lines=list(sent.lines[:cut]))
-        control.versions.broken()
+        control.versions.stream_lost()
         control.check()
         assert control.in_force == ""
-        assert not control.versions.busy
+        assert not control.versions.has_work
     assert control.versions.counts["versions_half_received"] == len(sent.lines)
     control.send(sent)
     assert control.in_force == "1.1"
@@ -237,9 +237,9 @@
     large = document(2, plan(*(Prefix(f"{n}", 1) for n in range(1000, 1999))))
     control.send(large)
     assert control.reason(2) == "too-large"
-    assert control.versions.waiting == 0
-    control.versions.header(b"{", 0)
-    control.versions.header(b'{"epoch":1}', 0)
+    assert control.versions.unchecked_bytes == 0
+    control.versions.receive_header(b"{", 0)
+    control.versions.receive_header(b'{"epoch":1}', 0)
     assert control.versions.counts["versions_heads_unreadable"] == 2
     control.send(sent)
     assert control.in_force == "1.1"
@@ -250,11 +250,11 @@
     control.send(document(1, plan(Prefix("5", 1))))
     control.send(document(2, plan(Prefix("5", 2)), in_force_ms=5_000))
     assert control.in_force == "1.1"
-    before, at = control.versions.due(5 * SECOND - 1), control.versions.due(5 * SECOND)
+    before, at = control.versions.activate_due(5 * SECOND - 1), control.versions.activate_due(5 * SECOND)
     assert before is not None
     assert at is not None
     assert (str(before.id), str(at.id), at.since_us) == ("1.1", "1.2", 5 * SECOND)
-    told = [a.report for a in [*control.actions, *control.versions.take()] if isinstance(a, Tell)]
+    told = [a.report for a in [*control.actions, *control.versions.take_actions()] if isinstance(a, SendReport)]
     assert [(r.number, r.at_us) for r in told if r.stand == "in-force"] == [(1, 0), (2, 5 * SECOND)]
 
 
@@ -273,9 +273,9 @@
     plans = [plan(*(Prefix(f"{n}", 1 + n % 3) for n in range(m))) for m in range(1, 101)]
     for number, made in enumerate(plans, 1):  # all at once, without a turn to check in
         sent = document(number, made)
-        control.versions.header(write_header(sent.header), 0)
-        control.versions.lines(list(sent.lines))
-        control.versions.end(0)
+        control.versions.receive_header(write_header(sent.header), 0)
+        control.versions.receive_lines(list(sent.lines))
+        control.versions.receive_end(0)
     control.check()
     assert control.in_force == "1.100"
     verdicts = {n: control.reports(n)[0] for n in range(1, 101)}
@@ -300,9 +300,9 @@
         else:
             cut = data.draw(st.integers(0, max(0, len(sent.lines) - 1)))
             control.send(sent, end=False, lines=list(sent.lines[:cut]))
-            control.versions.broken()
+            control.versions.stream_lost()
         control.pass_time(control.now + data.draw(st.sampled_from([0, SECOND])))
-        current = control.versions.due(control.now)
+        current = control.versions.activate_due(control.now)
         if current is not None and (not forces or forces[-1] != current.id):
             assert all(current.id > earlier for earlier in forces)
             assert current.plan.state == made[current.id.number].state
@@ -318,9 +318,10 @@
 def calls(control: Control, count: int, failing: float, number: str, zone: str, source: random.Random) -> None:
     """Calls to a number under the version in force, some of which fail."""
     for _ in range(count):
-        version = control.versions.due(control.now)
+        version = control.versions.activate_due(control.now)
         assert version is not None
-        control.versions.outcome(version.id, Outcome(number, 1, "a", zone, control.now, source.random() < failing))
+        control.versions.record_outcome(
+            version.id, CallOutcome(number, 1, "a", zone, control.now, source.random() < failing))
 
 
 def on_probation(seed: int, changed: Any) -> tuple[Control, random.Random]:
@@ -353,7 +354,7 @@
     assert play(control, source, 0.7, 0.1) == ["accepted", "in-force", "rolled-back"]
     assert control.in_force == "1.1"
     assert control.reason(2) == "probation"
-    told = next(a.report for a in control.actions if isinstance(a, Tell) and a.report.stand == "rolled-back")
+    told = next(a.report for a in control.actions if isinstance(a, SendReport) and a.report.stand == "rolled-back")
     assert told.to == "1.1"
     control.send(document(2, plan(Prefix("5", 3), Prefix("6", 2))))  # sent again: it stays taken back
     assert control.in_force == "1.1"
@@ -372,7 +373,7 @@
     blamed, source = on_probation(1, everything)
     assert "rolled-back" in play(blamed, source, 0.6, 0.6)
     cut, source = on_probation(1, everything)
-    cut.versions.disturbed("fes")
+    cut.versions.mark_disturbed("fes")
     assert "rolled-back" not in play(cut, source, 0.6, 0.6)
     surge, source = on_probation(1, everything)
     assert "rolled-back" not in play(surge, source, 0.6, 0.6, rate=10)
@@ -383,12 +384,12 @@
     for _ in range(1_500):
         probation = Probation(0, 10 * SECOND)
         for at, touched in itertools.product(range(150), (False, True)):
-            probation.before(Outcome("5", 1, "a", "z", at * SECOND // 4, source.random() < 0.2), touched)
-        for at in range(1, LOOKS + 1):
+            probation.add_before(CallOutcome("5", 1, "a", "z", at * SECOND // 4, source.random() < 0.2), touched)
+        for at in range(1, MAX_EVALUATIONS + 1):
             for touched in (False, True):
                 for _ in range(15):
-                    probation.since(Outcome("5", 1, "a", "z", 0, source.random() < 0.2), touched)
-            if probation.look(at * 2 * SECOND)[0] is Judgement.WORSE:
+                    probation.add_since(CallOutcome("5", 1, "a", "z", 0, source.random() < 0.2), touched)
+            if probation.evaluate(at * 2 * SECOND)[0] is Verdict.WORSE:
                 back += 1
                 break
     assert back <= 6  # 1.5 are expected at most; 6 or fewer come with probability 0.999
@@ -426,40 +427,40 @@
 
 def test_reports_are_told_until_heard_later_each_time_and_never_two_batches_at_once() -> None:
     outbox = Outbox(random.Random(1))
-    for seq in range(BATCH_MOST + 5):
+    for seq in range(MAX_BATCH_REPORTS + 5):
         outbox.add(report(seq))
-    first = outbox.batch(0)
-    assert len(first) == BATCH_MOST
-    assert outbox.batch(0) == ()
-    outbox.failed(0)
+    first = outbox.take_batch(0)
+    assert len(first) == MAX_BATCH_REPORTS
+    assert outbox.take_batch(0) == ()
+    outbox.delivery_failed(0)
     gaps = []
     now = 0
     for _ in range(8):
-        assert outbox.batch(outbox.not_before_us - 1) == ()
+        assert outbox.take_batch(outbox.not_before_us - 1) == ()
         now = outbox.not_before_us
-        assert outbox.batch(now) == first
-        outbox.failed(now)
+        assert outbox.take_batch(now) == first
+        outbox.delivery_failed(now)
         gaps.append(outbox.not_before_us - now)
     assert gaps[-1] > 4 * gaps[0]
-    assert outbox.batch(outbox.not_before_us) == first
-    outbox.heard(first)
-    assert len(outbox.batch(0)) == 5
+    assert outbox.take_batch(outbox.not_before_us) == first
+    outbox.acknowledge(first)
+    assert len(outbox.take_batch(0)) == 5
     full = Outbox(random.Random(1))
     full.add(report(0, "refused"))
-    for seq in range(1, WAITING_MOST + 10):
+    for seq in range(1, MAX_PENDING_REPORTS + 10):
         full.add(report(seq))
-    assert len(full) == WAITING_MOST
-    assert full.lost == 10
-    assert full.batch(0)[0].stand == "refused"
+    assert len(full) == MAX_PENDING_REPORTS
+    assert full.dropped == 10
+    assert full.take_batch(0)[0].stand == "refused"
 
 
 def test_a_report_heard_twice_counts_once() -> None:
-    ledger = Ledger()
+    report_log = ReportLog()
     batch = [report(1), report(2, "in-force")]
-    assert ledger.hear(read_reports(write_reports(batch))) == batch
-    assert ledger.hear(batch) == []
-    assert ledger.repeated == 2
-    assert [(r.number, r.stand) for r in ledger.rows()] == [(2, "in-force"), (1, "accepted")]
+    assert report_log.add(read_reports(write_reports(batch))) == batch
+    assert report_log.add(batch) == []
+    assert report_log.repeated == 2
+    assert [(r.number, r.stand) for r in report_log.latest_reports()] == [(2, "in-force"), (1, "accepted")]
     for wrong in (b"{", b"[1]", b"\xff"):
         with pytest.raises(ValueError, match=r"."):
             read_reports(wrong)
@@ -472,14 +473,14 @@
     catalogue.publish(VersionId(1, 2), plan(*many, Prefix("6", 2)))
     for after, full, kind in (("", False, "full"), ("1.1", False, "delta"), ("1.1", True, "full"),
                               ("0.9", False, "full"), ("nonsense", False, "full")):
-        sent = catalogue.next_for(after, full)
+        sent = catalogue.document_for(after, full)
         assert sent is not None
         assert (sent.header.kind, sent.header.number) == (kind, 2)
-    assert catalogue.next_for("1.2", False) is None
+    assert catalogue.document_for("1.2", False) is None
     with pytest.raises(ValueError, match="after"):
         catalogue.publish(VersionId(1, 2), plan())
     catalogue.publish(VersionId(1, 3), plan(Barred("9")))
-    changed = catalogue.next_for("1.2", False)
+    changed = catalogue.document_for("1.2", False)
     assert changed is not None
     assert changed.header.kind == "full"  # a delta would be longer
 
@@ -505,7 +506,7 @@
 
 def keep(files: VersionFiles, sent: Document) -> bool:
     """Write a document."""
-    return files.keep(sent.header, (sent.text(),))
+    return files.save(sent.header, (sent.text(),))
 
 
 def kept(files: VersionFiles) -> str:
@@ -525,7 +526,7 @@
     def write(files: VersionFiles, number: int) -> None:
         base = plans[number - 1] if number > 1 else None
         assert keep(files, document(number, plans[number], base=base, of=number - 1))
-        assert files.point(VersionId(1, number))
+        assert files.set_current(VersionId(1, number))
     for number in (1, 2, 3):
         write(counting, number)
     steps.clear()
@@ -554,14 +555,14 @@
     files = VersionFiles(tmp_path)
     for number in (1, 2):
         assert keep(files, document(number, plan(Prefix("5", number % 3 + 1))))
-        assert files.point(VersionId(1, number))
+        assert files.set_current(VersionId(1, number))
     (tmp_path / "1.2.full").write_bytes((tmp_path / "1.2.full").read_bytes()[:-5])
     found, wrong = VersionFiles(tmp_path).load()
     assert found is not None
     assert str(found.id) == "1.1"
     assert "1.2.full" in wrong[0]
-    (tmp_path / POINTER).write_bytes(b"{")
-    (tmp_path / BEFORE).unlink()
+    (tmp_path / CURRENT_POINTER).write_bytes(b"{")
+    (tmp_path / PREVIOUS_POINTER).unlink()
     assert VersionFiles(tmp_path).load()[0] is None
 
 
@@ -572,10 +573,10 @@
     for sent in (document(1, first), document(2, second, base=first, of=1)):
         control.send(sent)
     for action in control.actions:
-        if isinstance(action, Keep):
-            assert files.keep(action.header, action.text)
-        elif isinstance(action, Point):
-            assert files.point(action.id)
+        if isinstance(action, StoreVersion):
+            assert files.save(action.header, action.text)
+        elif isinstance(action, SetCurrentVersion):
+            assert files.set_current(action.id)
     found, wrong = VersionFiles(tmp_path).load()
     assert not wrong
     assert found is not None
@@ -590,11 +591,11 @@
 
 def test_a_delta_on_what_is_not_kept_is_not_kept_and_long_chains_are_told(tmp_path: Path) -> None:
     files = VersionFiles(tmp_path)
-    plans = [plan(Prefix("5", n % 3 + 1)) for n in range(CHAIN_MOST + 3)]
+    plans = [plan(Prefix("5", n % 3 + 1)) for n in range(MAX_CHAIN_DELTAS + 3)]
     assert not keep(files, document(2, plans[2], base=plans[1], of=1))
-    assert not files.point(VersionId(1, 2))
+    assert not files.set_current(VersionId(1, 2))
     assert keep(files, document(1, plans[1]))
-    for number in range(2, CHAIN_MOST + 2):
+    for number in range(2, MAX_CHAIN_DELTAS + 2):
         assert keep(files, document(number, plans[number], base=plans[number - 1], of=number - 1))
-    assert files.long(VersionId(1, CHAIN_MOST + 1))
-    assert not files.long(VersionId(1, CHAIN_MOST))
+    assert files.chain_too_long(VersionId(1, MAX_CHAIN_DELTAS + 1))
+    assert not files.chain_too_long(VersionId(1, MAX_CHAIN_DELTAS))
