--- a/astertrack/plan/__init__.py
+++ b/astertrack/plan/__init__.py
@@ -1,12 +1,12 @@
-"""The routing plan: which exchange a number belongs to, how calls may get there, and what limits them.
+"""The routing plan: which exchange a number belongs to, the permitted routes to it, and the call limits.
 
-Decides, for one call at a time and without I/O: the destination (longest match over a burst trie), the ordered
-groups of ways to it by destination, class and zone, whether a number is barred or a limit reached, and what the
-refused caller is told. Which server of those permitted is taken, whether to try again and whom to turn away stays
-with the decision module.
+Decides, for one call at a time and without I/O: the destination (longest-prefix match in a burst trie), the ordered
+groups of routes to it by destination, class and zone, whether the number is barred or a limit is reached, and the
+retry advice for a refused caller. The choice among the permitted servers, retries and load shedding are left to the
+decision module.
 
-What may never happen: a plan that is half checked is asked; a plan changes once it is made; a call follows two
-plans. Methods: burst tries (Heinz, Zobel and Williams 2002) made persistent by copying paths (Driscoll and others
+Invariants: a plan that is not fully validated is never queried; a plan is immutable once built; a call follows one
+plan only. Methods: burst tries (Heinz, Zobel and Williams 2002) made persistent by path copying (Driscoll and others
 1989); set digests by AdHash (Bellare and Micciancio 1997).
 """
 
--- a/astertrack/plan/compiled.py
+++ b/astertrack/plan/compiled.py
@@ -15,7 +15,7 @@
     CAUSES,
     KINDS,
     MAX_PREFIX_LENGTH,
-    RANGE_MOST,
+    MAX_RANGE_PREFIXES,
     Alias,
     Barred,
     Choice,
@@ -32,14 +32,14 @@
     RetryAdvice,
     Route,
     Unmatched,
-    digest,
     kind_of,
+    record_digest,
 )
 from astertrack.plan.trie import Editor, PrefixTrie
 
-RECORDS_MOST = 2_000_000  # of one plan; the memory for it is what limits an installation sooner
-OTHERS_MOST = 20_000  # of the records that are not prefixes
-ALIASES_MOST = 8  # followed for one number
+MAX_RECORDS = 2_000_000  # of one plan; the memory for it is what limits an installation sooner
+MAX_OTHER_RECORDS = 20_000  # of the records that are not prefixes
+MAX_ALIASES = 8  # followed for one number
 MODULUS = 2**256
 DIGITS = "0123456789abcdef"
 
@@ -63,7 +63,7 @@
 
     def target(self, number: str) -> Value | None:
         """Return what the longest prefix of a number says, aliases followed; None: no prefix fits."""
-        for _ in range(ALIASES_MOST + 1):
+        for _ in range(MAX_ALIASES + 1):
             hit = self.prefixes.match(number)
             if hit is None or not isinstance(hit[1], Alias):
                 return None if hit is None else hit[1]
@@ -163,8 +163,8 @@
         if isinstance(line, Drop):
             self._drop(line)
             return
-        if self._size >= RECORDS_MOST:
-            raise self._refuse(Reason.TOO_MANY, f"at most {RECORDS_MOST} records")
+        if self._size >= MAX_RECORDS:
+            raise self._refuse(Reason.TOO_MANY, f"at most {MAX_RECORDS} records")
         if self._put is not None:  # a delta: a record of a known key takes the place of the one before
             # Prefixes of all kinds share their keys: one number has one meaning.
             kind = "number" if isinstance(line, (Prefix, Barred, Alias)) else type(line).__name__
@@ -182,7 +182,7 @@
         self._count(line, 1)
 
     def _count(self, record: Record, sign: int) -> None:
-        self._state = (self._state + sign * digest(record)) % MODULUS
+        self._state = (self._state + sign * record_digest(record)) % MODULUS
         self._size += sign
 
     def _store(self, record: Record) -> Record | None:
@@ -198,8 +198,8 @@
             if before is not None:
                 self._span(before, None)
             self._span(record, record)
-        if before is None and sum(map(len, self._others.values())) >= OTHERS_MOST:
-            raise self._refuse(Reason.TOO_MANY, f"at most {OTHERS_MOST} records that are not prefixes")
+        if before is None and sum(map(len, self._others.values())) >= MAX_OTHER_RECORDS:
+            raise self._refuse(Reason.TOO_MANY, f"at most {MAX_OTHER_RECORDS} records that are not prefixes")
         holder[record.key()] = record
         return before
 
@@ -285,10 +285,10 @@
     def _range(self, record: Range) -> None:
         try:
             found = covering_prefixes(record.first, record.last)
-        except ValueError as wrong:
-            raise self._refuse(Reason.SCHEMA, str(wrong), "first") from None
-        if len(found) > RANGE_MOST or len(record.first) > MAX_PREFIX_LENGTH:
-            raise self._refuse(Reason.TOO_MANY, f"a range of at most {RANGE_MOST} prefixes", "first")
+        except ValueError as error:
+            raise self._refuse(Reason.SCHEMA, str(error), "first") from None
+        if len(found) > MAX_RANGE_PREFIXES or len(record.first) > MAX_PREFIX_LENGTH:
+            raise self._refuse(Reason.TOO_MANY, f"a range of at most {MAX_RANGE_PREFIXES} prefixes", "first")
         self._name(record.exchange, "exchange")
 
     def _choice(self, record: Choice) -> None:
@@ -296,7 +296,7 @@
             for place, tandem in enumerate(group):
                 path = f"over[{at}][{place}]"
                 if tandem == record.exchange:
-                    raise self._refuse(Reason.THROUGH_ITSELF, f"exchange {tandem} is no way to itself", path)
+                    raise self._refuse(Reason.ROUTE_THROUGH_ITSELF, f"exchange {tandem} is no way to itself", path)
                 if tandem in record.never:
                     raise self._refuse(Reason.DOUBLED, f"exchange {tandem} is never to be taken, too", path)
                 self._name(tandem, path)
@@ -305,7 +305,7 @@
             raise self._refuse(Reason.DOUBLED, "each exchange in one group only", "over")
         for place, tandem in enumerate(record.never):
             if tandem == record.exchange:
-                raise self._refuse(Reason.THROUGH_ITSELF,
+                raise self._refuse(Reason.ROUTE_THROUGH_ITSELF,
                                    f"exchange {tandem} is the destination: say direct = false", f"never[{place}]")
             self._name(tandem, f"never[{place}]")
         self._name(record.exchange, "exchange")
@@ -371,15 +371,15 @@
                 loop = " -> ".join((*way[way.index(digits):], digits))
                 raise PlanError(Finding(Reason.ALIAS_LOOP, f"prefixes that lead back to themselves: {loop}"))
             if digits not in depth:
-                if len(way) > ALIASES_MOST:
+                if len(way) > MAX_ALIASES:
                     raise PlanError(Finding(Reason.ALIAS_LOOP,
-                                          f"at most {ALIASES_MOST} aliases in a row: {' -> '.join(way)}"))
+                                          f"at most {MAX_ALIASES} aliases in a row: {' -> '.join(way)}"))
                 depth[digits] = 1 + max((deep(d, (*way, digits)) for d in below[digits]), default=0)
             return depth[digits]
 
         for digits in found:
-            if deep(digits, ()) > ALIASES_MOST:
-                raise PlanError(Finding(Reason.ALIAS_LOOP, f"at most {ALIASES_MOST} aliases in a row, from {digits!r}"))
+            if deep(digits, ()) > MAX_ALIASES:
+                raise PlanError(Finding(Reason.ALIAS_LOOP, f"at most {MAX_ALIASES} aliases in a row, from {digits!r}"))
             yield
 
     def finish(self) -> Plan:
--- a/astertrack/plan/files.py
+++ b/astertrack/plan/files.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from astertrack.checking import split_validation_error
-from astertrack.plan.model import KINDS, Finding, PlanError, Reason, Record, from_table, kind_of
+from astertrack.plan.model import KINDS, Finding, PlanError, Reason, Record, kind_of, read_table
 
 
 class VersionTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -32,15 +32,15 @@
     """Read a document; raises Refused with a finding whose path names the table and field, as `prefix[3].digits`."""
     try:
         raw: dict[str, Any] = tomllib.loads(text)
-    except (tomllib.TOMLDecodeError, RecursionError) as wrong:
-        raise PlanError(Finding(Reason.SCHEMA, f"not TOML: {wrong}")) from None
+    except (tomllib.TOMLDecodeError, RecursionError) as error:
+        raise PlanError(Finding(Reason.SCHEMA, f"not TOML: {error}")) from None
     version = raw.pop("version", None)
     head = None
     if version is not None:
         try:
             head = msgspec.convert(version, VersionTable)
-        except msgspec.ValidationError as wrong:
-            expected, path = split_validation_error(wrong)
+        except msgspec.ValidationError as error:
+            expected, path = split_validation_error(error)
             raise PlanError(Finding(Reason.SCHEMA, expected, 0, f"version.{path}".rstrip("."))) from None
     records: list[Record] = []
     for kind, held in raw.items():
@@ -51,7 +51,7 @@
             raise PlanError(Finding(Reason.SCHEMA, "a table, or an array of tables", 0, kind))
         for at, table in enumerate(tables):
             try:
-                records.append(from_table(kind, table, 0))
+                records.append(read_table(kind, table, 0))
             except PlanError as refused:
                 finding = refused.finding
                 path = f"{kind}[{at}]" + (f".{finding.path}" if finding.path else "")
