--- a/astertrack/plan/compiled.py
+++ b/astertrack/plan/compiled.py
@@ -1,7 +1,7 @@
-"""A plan in the form in which calls search it, and the way from records to it, piece by piece.
+"""The searchable form of a plan, and its incremental construction from records.
 
-A Plan does not change. Building takes one record at a time, so that whoever drives it can stop between any two
-and let calls pass; a delta begins from the plan before and shares what it does not touch.
+A Plan is immutable. A PlanBuilder takes one record at a time, so that its driver can pause between any two records
+and process calls; a delta starts from its base plan and shares all that it does not change.
 """
 
 from __future__ import annotations
@@ -37,54 +37,54 @@
 )
 from astertrack.plan.trie import Editor, PrefixTrie
 
-MAX_RECORDS = 2_000_000  # of one plan; the memory for it is what limits an installation sooner
-MAX_OTHER_RECORDS = 20_000  # of the records that are not prefixes
+MAX_RECORDS = 2_000_000  # per plan; memory limits an installation sooner
+MAX_OTHER_RECORDS = 20_000  # records other than prefixes, per plan
 MAX_ALIASES = 8  # followed for one number
 MODULUS = 2**256
 DIGITS = "0123456789abcdef"
 
 Target = Prefix | Barred | Alias | Range
-# What a trie holds for a prefix. Equal values are one object: for a plain prefix its exchange's number alone.
+# The value of a prefix in the trie. Equal values share one object: a plain prefix has only its exchange number.
 Value = int | Barred | Alias | Range
 
 
 @dataclass(frozen=True, slots=True, weakref_slot=True)
 class Plan:
-    """One plan, ready to be asked. Shared by all calls that began while it was in force."""
+    """A validated plan. Shared by all calls that were admitted while it was in force."""
 
     prefixes: PrefixTrie[Value] = field(default_factory=PrefixTrie)
-    records_by_kind: dict[str, dict[str, Any]] = field(default_factory=dict)  # records that are not prefixes, by kind
-    state: int = 0  # digest of all records, whatever their order
-    size: int = 0  # records
+    records_by_kind: dict[str, dict[str, Any]] = field(default_factory=dict)  # records other than prefixes: kind -> key
+    state: int = 0  # digest of all records, independent of their order
+    size: int = 0  # number of records
 
     def records_of(self, kind: str) -> dict[str, Any]:
-        """Return the records of a kind that is not searched by number, by key."""
+        """Return the records of a kind that is not looked up by number, as a mapping from key to record."""
         return self.records_by_kind.get(kind, {})
 
     def target(self, number: str) -> Value | None:
-        """Return what the longest prefix of a number says, aliases followed; None: no prefix fits."""
+        """Return the value of the longest matching prefix, with aliases followed; None if no prefix matches."""
         for _ in range(MAX_ALIASES + 1):
             hit = self.prefixes.match(number)
             if hit is None or not isinstance(hit[1], Alias):
                 return None if hit is None else hit[1]
             number = hit[1].to + number[hit[0]:]
-        return None  # guards against a loop that the check did not see: as if no prefix fitted
+        return None  # an alias loop that validation missed is treated as if no prefix matched
 
     def choice(self, exchange: int, service: str, zone: str) -> Choice | None:
-        """Return the most exact choice for these: by exchange, then by class, then by zone."""
+        """Return the most specific choice for these values: by exchange, then by class, then by zone."""
         choices = self.records_of("choice")
         if not choices:
             return None
-        for place in (str(exchange), ANY):
-            for of_class in (service, ANY):
-                for of_zone in (zone, ANY):
-                    found: Choice | None = choices.get(f"{place}/{of_class}/{of_zone}")
-                    if found is not None:
-                        return found
+        for exchange_key in (str(exchange), ANY):
+            for class_key in (service, ANY):
+                for zone_key in (zone, ANY):
+                    candidate: Choice | None = choices.get(f"{exchange_key}/{class_key}/{zone_key}")
+                    if candidate is not None:
+                        return candidate
         return None
 
     def route(self, exchange: int, service: str, zone: str) -> Route:
-        """Return how a call of this class may get from a router of this zone to an exchange."""
+        """Return the permitted routes of a call of this class from a router of this zone to an exchange."""
         choice = self.choice(exchange, service, zone)
         if choice is None:
             return Route(exchange)
@@ -99,9 +99,9 @@
         return Route(exchange, tuple(tiers), never)
 
     def records(self) -> Iterator[Record]:
-        """Yield every record: those that are not prefixes first, each kind by key."""
+        """Yield all records: those other than prefixes first, each kind in the order of its keys."""
         for kind in KINDS:
-            if kind != "alias":  # those stand among the numbers
+            if kind != "alias":  # aliases are among the prefixes
                 yield from (self.records_of(kind)[key] for key in sorted(self.records_of(kind)))
         for digits, value in self.prefixes.items():
             if isinstance(value, int):
@@ -111,284 +111,292 @@
 
 
 def covering_prefixes(first: str, last: str) -> list[str]:
-    """Return the fewest prefixes that stand for all numbers from first to last, of equally many digits.
+    """Return the smallest set of prefixes that covers the numbers from first to last, both inclusive.
 
-    Errors: ValueError if the two are not of equal length, or first comes after last.
+    Raises ValueError if first and last differ in length or first is greater than last.
     """
     if len(first) != len(last) or first > last or not first:
-        raise ValueError("first and last must have equally many digits, and first not come after last")
-    at = 0
-    while at < len(first) and first[at] == last[at]:
-        at += 1
-    if at == len(first):
+        raise ValueError("first and last must have the same number of digits, and first must not exceed last")
+    common = 0  # length of the common prefix
+    while common < len(first) and first[common] == last[common]:
+        common += 1
+    if common == len(first):
         return [first]
-    head, low, high = first[:at], first[at], last[at]
-    first_rest, last_rest = first[at + 1:], last[at + 1:]
-    # Decimal ranges stay decimal: no prefix with a letter stands in them unless the range itself has letters.
-    digits = DIGITS if any(c > "9" for c in first + last) else DIGITS[:10]
-    found: list[str] = []
-    whole_low = first_rest.strip(digits[0]) == ""
-    whole_high = last_rest.strip(digits[-1]) == ""
-    if whole_low and whole_high and low == digits[0] and high == digits[-1]:
+    head, low, high = first[:common], first[common], last[common]
+    first_suffix, last_suffix = first[common + 1:], last[common + 1:]
+    # Decimal ranges stay decimal: they cover no prefix with a letter unless one of their bounds has a letter.
+    digits = DIGITS if any(char > "9" for char in first + last) else DIGITS[:10]
+    prefixes: list[str] = []
+    low_complete = first_suffix.strip(digits[0]) == ""
+    high_complete = last_suffix.strip(digits[-1]) == ""
+    if low_complete and high_complete and low == digits[0] and high == digits[-1]:
         return [head] if head else list(digits)
-    if not whole_low:
-        found += [head + low + rest for rest in covering_prefixes(first_rest, digits[-1] * len(first_rest))]
-    middle = digits[digits.index(low) + (not whole_low):digits.index(high) + whole_high]
-    found += [head + digit for digit in middle]
-    if not whole_high:
-        found += [head + high + rest for rest in covering_prefixes(digits[0] * len(last_rest), last_rest)]
-    return found
+    if not low_complete:
+        prefixes += [head + low + suffix for suffix in covering_prefixes(first_suffix, digits[-1] * len(first_suffix))]
+    middle = digits[digits.index(low) + (not low_complete):digits.index(high) + high_complete]
+    prefixes += [head + digit for digit in middle]
+    if not high_complete:
+        prefixes += [head + high + suffix for suffix in covering_prefixes(digits[0] * len(last_suffix), last_suffix)]
+    return prefixes
 
 
 class PlanBuilder:
-    """The way from records to a Plan. Feed lines by apply(), then validate(); either raises Refused with a finding."""
+    """Builds a Plan from records, in full or as a delta on a base plan.
+
+    Pass lines to apply(), run validate() to its end, then call finish(). Both of the former raise PlanError.
+    """
 
     def __init__(self, base: Plan | None = None) -> None:
         base = base if base is not None else Plan()
         self._base = base
-        self._numbers: Editor[Value] = base.prefixes.edit()
-        self._others = {kind: dict(base.records_of(kind)) for kind in KINDS if kind not in ("prefix", "barred")}
+        self._prefixes: Editor[Value] = base.prefixes.edit()
+        self._records_by_kind = {
+            kind: dict(base.records_of(kind)) for kind in KINDS if kind not in ("prefix", "barred")}
         self._state, self._size = base.state, base.size
-        self._put: set[tuple[str, str]] | None = set() if base.size else None  # keys put by a delta
+        self._delta_keys: set[tuple[str, str]] | None = set() if base.size else None  # keys set by a delta
         self.line_count = 0
-        # Whom records name, with the first line that does: checked once all exchanges are known.
-        self._named: dict[int, tuple[int, str]] = {}
+        # Exchanges that records refer to, with the first such line and path. Checked once all exchanges are known.
+        self._referenced: dict[int, tuple[int, str]] = {}
 
-    def _refuse(self, reason: Reason, expected: str, path: str = "") -> PlanError:
+    def _error(self, reason: Reason, expected: str, path: str = "") -> PlanError:
         return PlanError(Finding(reason, expected, self.line_count, path))
 
     def apply(self, line: PlanLine) -> None:
-        """Take the next record, or in a delta the next record or Drop."""
+        """Add the next record; in a delta, replace one of the same key, or remove one by a Drop."""
         self.line_count += 1
         if isinstance(line, Drop):
-            self._drop(line)
+            self._remove(line)
             return
         if self._size >= MAX_RECORDS:
-            raise self._refuse(Reason.TOO_MANY, f"at most {MAX_RECORDS} records")
-        if self._put is not None:  # a delta: a record of a known key takes the place of the one before
-            # Prefixes of all kinds share their keys: one number has one meaning.
+            raise self._error(Reason.TOO_MANY, f"at most {MAX_RECORDS} records")
+        if self._delta_keys is not None:  # in a delta, a record replaces an earlier one with the same key
+            # Prefixes of all kinds share one key space: a prefix has only one meaning.
             kind = "number" if isinstance(line, (Prefix, Barred, Alias)) else type(line).__name__
             kind_key = (kind, line.key())
-            if kind_key in self._put:
-                raise self._refuse(Reason.DOUBLED, f"the delta has {line.key()!r} already")
-            self._put.add(kind_key)
-        self._meaning(line)
+            if kind_key in self._delta_keys:
+                raise self._error(Reason.DOUBLED, f"the delta already has {line.key()!r}")
+            self._delta_keys.add(kind_key)
+        self._check_record(line)
         before = self._store(line)
         if before is not None:
-            if self._put is None:
-                raise self._refuse(Reason.DOUBLED, f"there is a {kind_of(before)} "
-                                                   f"{before.key()!r} already")
-            self._count(before, -1)
-        self._count(line, 1)
+            if self._delta_keys is None:
+                raise self._error(Reason.DOUBLED, f"there is a {kind_of(before)} "
+                                                  f"{before.key()!r} already")
+            self._account(before, -1)
+        self._account(line, 1)
 
-    def _count(self, record: Record, sign: int) -> None:
+    def _account(self, record: Record, sign: int) -> None:
         self._state = (self._state + sign * record_digest(record)) % MODULUS
         self._size += sign
 
     def _store(self, record: Record) -> Record | None:
-        """Put a record where it belongs; return the one whose place it takes."""
+        """Store a record under its kind and key; return the record that it replaces."""
         if isinstance(record, Prefix):
-            return self._place(record.digits, record.exchange)
+            return self._put_prefix(record.digits, record.exchange)
         if isinstance(record, (Barred, Alias)):
-            return self._place(record.digits, record)
+            return self._put_prefix(record.digits, record)
         kind = kind_of(record)
-        holder = self._others[kind]
-        before: Record | None = holder.get(record.key())
+        records = self._records_by_kind[kind]
+        before: Record | None = records.get(record.key())
         if isinstance(record, Range):
             if before is not None:
-                self._span(before, None)
-            self._span(record, record)
-        if before is None and sum(map(len, self._others.values())) >= MAX_OTHER_RECORDS:
-            raise self._refuse(Reason.TOO_MANY, f"at most {MAX_OTHER_RECORDS} records that are not prefixes")
-        holder[record.key()] = record
+                self._expand_range(before, None)
+            self._expand_range(record, record)
+        if before is None and sum(map(len, self._records_by_kind.values())) >= MAX_OTHER_RECORDS:
+            raise self._error(Reason.TOO_MANY, f"at most {MAX_OTHER_RECORDS} records other than prefixes")
+        records[record.key()] = record
         return before
 
-    def _place(self, digits: str, value: Value) -> Record | None:
-        before = self._numbers.put(digits, value)
+    def _put_prefix(self, digits: str, value: Value) -> Record | None:
+        before = self._prefixes.put(digits, value)
         if isinstance(before, Range):
-            raise self._refuse(Reason.DOUBLED, f"prefix {digits!r} lies in the range {before.key()}", "digits")
+            raise self._error(Reason.DOUBLED, f"prefix {digits!r} is within the range {before.key()}", "digits")
         if isinstance(before, Alias):
-            del self._others["alias"][digits]
+            del self._records_by_kind["alias"][digits]
         if isinstance(value, Alias):
-            self._others["alias"][digits] = value
+            self._records_by_kind["alias"][digits] = value
         return self._as_record(digits, before)
 
     @staticmethod
     def _as_record(digits: str, value: Value | None) -> Record | None:
         return Prefix(digits, value) if isinstance(value, int) else value
 
-    def _span(self, record: Any, value: Range | None) -> None:
-        """Put or take the prefixes that a range stands for."""
+    def _expand_range(self, record: Any, value: Range | None) -> None:
+        """Set the prefixes that a range covers; remove them if value is None."""
         for digits in covering_prefixes(record.first, record.last):
             if value is None:
-                self._numbers.remove(digits)
-            elif (before := self._numbers.put(digits, value)) is not None:
+                self._prefixes.remove(digits)
+            elif (before := self._prefixes.put(digits, value)) is not None:
                 other = self._as_record(digits, before)
-                raise self._refuse(Reason.DOUBLED, f"prefix {digits!r} of the range has a meaning already: "
-                                                   f"{kind_of(other) if other else ''} "
-                                                   f"{other.key() if other else ''}", "first")
+                raise self._error(Reason.DOUBLED, f"prefix {digits!r} of the range already exists as "
+                                                  f"{kind_of(other) if other else ''} "
+                                                  f"{other.key() if other else ''}", "first")
 
-    def _drop(self, line: Drop) -> None:
-        if self._put is None:
-            raise self._refuse(Reason.SCHEMA, "a full version takes nothing out", "kind")
+    def _remove(self, line: Drop) -> None:
+        if self._delta_keys is None:
+            raise self._error(Reason.SCHEMA, "no drop in a full version", "kind")
         if line.of not in KINDS:
-            raise self._refuse(Reason.SCHEMA, f"no such kind of record; known are {', '.join(KINDS)}", "of")
+            raise self._error(Reason.SCHEMA, f"a known kind of record: {', '.join(KINDS)}", "of")
         before: Record | None
         if line.of in ("prefix", "barred", "alias"):
-            value = self._numbers.get(line.key_)
+            value = self._prefixes.get(line.key_)
             before = self._as_record(line.key_, value)
             if type(before) is not KINDS[line.of]:
                 before = None
             else:
-                self._numbers.remove(line.key_)
-                self._others["alias"].pop(line.key_, None)
+                self._prefixes.remove(line.key_)
+                self._records_by_kind["alias"].pop(line.key_, None)
         else:
-            before = self._others[line.of].pop(line.key_, None)
+            before = self._records_by_kind[line.of].pop(line.key_, None)
             if isinstance(before, Range):
-                self._span(before, None)
+                self._expand_range(before, None)
         if before is None:
-            raise self._refuse(Reason.MISSING, f"there is no {line.of} {line.key_!r} to take out", "key")
-        self._count(before, -1)
+            raise self._error(Reason.MISSING, f"there is no {line.of} {line.key_!r} to remove", "key")
+        self._account(before, -1)
 
-    # ---- what a record means
+    # ---- validation of single records
 
-    def _name(self, exchange: int | None, path: str) -> None:
+    def _note_reference(self, exchange: int | None, path: str) -> None:
         if exchange is not None:
-            self._named.setdefault(exchange, (self.line_count, path))
+            self._referenced.setdefault(exchange, (self.line_count, path))
 
-    def _meaning(self, record: Record) -> None:
-        """Check what can be told of a record by itself, and note whom it names."""
+    def _check_record(self, record: Record) -> None:
+        """Validate a record on its own, and note the exchanges that it refers to."""
         match record:
             case Prefix():
                 if not record.digits:
-                    raise self._refuse(Reason.SCHEMA, "at least one digit", "digits")
-                self._name(record.exchange, "exchange")
+                    raise self._error(Reason.SCHEMA, "at least one digit", "digits")
+                self._note_reference(record.exchange, "exchange")
             case Barred(digits) if not digits:
-                raise self._refuse(Reason.SCHEMA, "at least one digit", "digits")
+                raise self._error(Reason.SCHEMA, "at least one digit", "digits")
             case Alias(digits, to):
                 if not digits or not to:
-                    raise self._refuse(Reason.SCHEMA, "at least one digit", "to" if digits else "digits")
+                    raise self._error(Reason.SCHEMA, "at least one digit", "to" if digits else "digits")
             case Range():
-                self._range(record)
+                self._check_range(record)
             case Choice():
-                self._choice(record)
+                self._check_choice(record)
             case Limit():
                 if record.in_hand is None and record.per_s is None:
-                    raise self._refuse(Reason.SCHEMA, "in_hand or per_s, or both", "in_hand")
-                self._name(record.exchange, "exchange")
+                    raise self._error(Reason.SCHEMA, "in_hand or per_s, or both", "in_hand")
+                self._note_reference(record.exchange, "exchange")
             case RetryAdvice():
                 if record.cause not in CAUSES:
-                    raise self._refuse(Reason.SCHEMA, f"one of {', '.join(CAUSES)}", "cause")
+                    raise self._error(Reason.SCHEMA, f"one of {', '.join(CAUSES)}", "cause")
             case Exchange() | Unmatched():
                 pass
 
-    def _range(self, record: Range) -> None:
+    def _check_range(self, record: Range) -> None:
         try:
-            found = covering_prefixes(record.first, record.last)
+            prefixes = covering_prefixes(record.first, record.last)
         except ValueError as error:
-            raise self._refuse(Reason.SCHEMA, str(error), "first") from None
-        if len(found) > MAX_RANGE_PREFIXES or len(record.first) > MAX_PREFIX_LENGTH:
-            raise self._refuse(Reason.TOO_MANY, f"a range of at most {MAX_RANGE_PREFIXES} prefixes", "first")
-        self._name(record.exchange, "exchange")
-
-    def _choice(self, record: Choice) -> None:
-        for at, group in enumerate(record.over):
-            for place, tandem in enumerate(group):
-                path = f"over[{at}][{place}]"
+            raise self._error(Reason.SCHEMA, str(error), "first") from None
+        if len(prefixes) > MAX_RANGE_PREFIXES or len(record.first) > MAX_PREFIX_LENGTH:
+            raise self._error(Reason.TOO_MANY, f"a range of at most {MAX_RANGE_PREFIXES} prefixes", "first")
+        self._note_reference(record.exchange, "exchange")
+
+    def _check_choice(self, record: Choice) -> None:
+        for group_index, group in enumerate(record.over):
+            for index, tandem in enumerate(group):
+                path = f"over[{group_index}][{index}]"
                 if tandem == record.exchange:
-                    raise self._refuse(Reason.ROUTE_THROUGH_ITSELF, f"exchange {tandem} is no way to itself", path)
+                    raise self._error(Reason.ROUTE_THROUGH_ITSELF,
+                                      f"exchange {tandem} cannot be a tandem on the route to itself", path)
                 if tandem in record.never:
-                    raise self._refuse(Reason.DOUBLED, f"exchange {tandem} is never to be taken, too", path)
-                self._name(tandem, path)
-        seen = [tandem for group in record.over for tandem in group]
-        if len(seen) != len(set(seen)):
-            raise self._refuse(Reason.DOUBLED, "each exchange in one group only", "over")
-        for place, tandem in enumerate(record.never):
+                    raise self._error(Reason.DOUBLED, f"exchange {tandem} is also in never", path)
+                self._note_reference(tandem, path)
+        tandems = [tandem for group in record.over for tandem in group]
+        if len(tandems) != len(set(tandems)):
+            raise self._error(Reason.DOUBLED, "each exchange in one group only", "over")
+        for index, tandem in enumerate(record.never):
             if tandem == record.exchange:
-                raise self._refuse(Reason.ROUTE_THROUGH_ITSELF,
-                                   f"exchange {tandem} is the destination: say direct = false", f"never[{place}]")
-            self._name(tandem, f"never[{place}]")
-        self._name(record.exchange, "exchange")
-        if not record.direct and not record.any_tandem and not seen:
-            raise self._refuse(Reason.NO_ROUTE, "a direct way, a tandem, or a barred prefix instead", "over")
+                raise self._error(Reason.ROUTE_THROUGH_ITSELF,
+                                  f"exchange {tandem} is the destination: use direct = false", f"never[{index}]")
+            self._note_reference(tandem, f"never[{index}]")
+        self._note_reference(record.exchange, "exchange")
+        if not record.direct and not record.any_tandem and not tandems:
+            raise self._error(Reason.NO_ROUTE, "a direct route, a tandem, or a barred prefix instead", "over")
 
     def validate(self) -> Iterator[None]:
-        """Check what only the whole tells; yields between pieces, so that calls may pass. Then finish() it."""
-        known = self._others["exchange"]
-        for exchange, (line, path) in self._named.items():
+        """Validate the plan as a whole. Yields between small steps, so that calls can be processed meanwhile."""
+        known = self._records_by_kind["exchange"]
+        for exchange, (line, path) in self._referenced.items():
             if str(exchange) not in known:
                 raise PlanError(Finding(Reason.UNKNOWN_EXCHANGE, f"exchange {exchange} is not listed", line, path))
         yield
-        if self._put is not None and any(str(number) not in known for number in self._dropped_exchanges()):
-            yield from self._still_named(known)
-        yield from self._aliases()
+        if self._delta_keys is not None and any(str(number) not in known for number in self._removed_exchanges()):
+            yield from self._check_removed_exchanges(known)
+        yield from self._check_aliases()
 
-    def _dropped_exchanges(self) -> list[str]:
-        return [key for key in self._base.records_of("exchange") if key not in self._others["exchange"]]
+    def _removed_exchanges(self) -> list[str]:
+        return [key for key in self._base.records_of("exchange") if key not in self._records_by_kind["exchange"]]
 
-    def _still_named(self, known: dict[str, Any]) -> Iterator[None]:
-        """A delta took an exchange out: what it left in the plan must not name it."""
-        trie = self._numbers.peek()
-        for at, (digits, value) in enumerate(trie.items()):
+    def _check_removed_exchanges(self, known: dict[str, Any]) -> Iterator[None]:
+        """Check that no remaining record refers to an exchange that the delta has removed."""
+        trie = self._prefixes.peek()
+        for index, (digits, value) in enumerate(trie.items()):
             exchange = value if isinstance(value, int) else getattr(value, "exchange", None)
             if exchange is not None and str(exchange) not in known:
                 raise PlanError(Finding(Reason.UNKNOWN_EXCHANGE,
-                                      f"exchange {exchange} was taken out, and prefix {digits!r} names it"))
-            if at % 64 == 63:
+                                        f"exchange {exchange} was removed, but prefix {digits!r} refers to it"))
+            if index % 64 == 63:
                 yield
         for kind in ("choice", "limit"):
-            for record in self._others[kind].values():
-                named = [record.exchange, *(t for g in getattr(record, "over", ()) for t in g),
-                         *getattr(record, "never", ())]
-                for exchange in named:
+            for record in self._records_by_kind[kind].values():
+                references = [record.exchange, *(tandem for group in getattr(record, "over", ()) for tandem in group),
+                              *getattr(record, "never", ())]
+                for exchange in references:
                     if exchange is not None and str(exchange) not in known:
                         raise PlanError(Finding(
                             Reason.UNKNOWN_EXCHANGE,
-                            f"exchange {exchange} was taken out, and {kind} {record.key()!r} names it"))
+                            f"exchange {exchange} was removed, but {kind} {record.key()!r} refers to it"))
             yield
 
-    def _aliases(self) -> Iterator[None]:
-        """No number may be sent round for ever, nor through more than ALIASES_MOST aliases.
+    def _check_aliases(self) -> Iterator[None]:
+        """Check that aliases form no loop, and that no number passes more than MAX_ALIASES of them.
 
-        A number of alias A goes on as one that begins with A.to, and is met next by the longest prefix of that,
-        or by a longer one that begins with it, if the rest of the number goes on so. All of these are taken for
-        possible: a plan with a loop is never let through, and one that only looks like a loop is refused, too.
+        A number that matches alias A is looked up again with the prefix A.to. It then matches the longest prefix of
+        A.to, or a longer prefix that begins with A.to, depending on the rest of the number. All of these are assumed
+        to be possible: a plan with a loop is always refused, and so are some plans that only appear to have one.
         """
-        trie, below = self._numbers.peek(), dict[str, list[str]]()
-        found: dict[str, Alias] = self._others["alias"]
-        for digits, alias in found.items():
-            nexts = []
+        trie, successors = self._prefixes.peek(), dict[str, list[str]]()
+        aliases: dict[str, Alias] = self._records_by_kind["alias"]
+        for digits, alias in aliases.items():
+            following = []
             hit = trie.match(alias.to)
             if hit is not None and isinstance(hit[1], Alias):
-                nexts.append(hit[1].digits)
-            nexts += [d for d in found if d.startswith(alias.to) and len(d) > len(alias.to)]
-            below[digits] = nexts
+                following.append(hit[1].digits)
+            following += [other for other in aliases if other.startswith(alias.to) and len(other) > len(alias.to)]
+            successors[digits] = following
             yield
-        depth: dict[str, int] = {}
-
-        def deep(digits: str, way: tuple[str, ...]) -> int:
-            if digits in way:
-                loop = " -> ".join((*way[way.index(digits):], digits))
-                raise PlanError(Finding(Reason.ALIAS_LOOP, f"prefixes that lead back to themselves: {loop}"))
-            if digits not in depth:
-                if len(way) > MAX_ALIASES:
+        depths: dict[str, int] = {}
+
+        def chain_depth(digits: str, path: tuple[str, ...]) -> int:
+            if digits in path:
+                loop = " -> ".join((*path[path.index(digits):], digits))
+                raise PlanError(Finding(Reason.ALIAS_LOOP, f"no loop of aliases: {loop}"))
+            if digits not in depths:
+                if len(path) > MAX_ALIASES:
                     raise PlanError(Finding(Reason.ALIAS_LOOP,
-                                          f"at most {MAX_ALIASES} aliases in a row: {' -> '.join(way)}"))
-                depth[digits] = 1 + max((deep(d, (*way, digits)) for d in below[digits]), default=0)
-            return depth[digits]
+                                            f"at most {MAX_ALIASES} aliases in a row: {' -> '.join(path)}"))
+                depths[digits] = 1 + max(
+                    (chain_depth(other, (*path, digits)) for other in successors[digits]), default=0)
+            return depths[digits]
 
-        for digits in found:
-            if deep(digits, ()) > MAX_ALIASES:
+        for digits in aliases:
+            if chain_depth(digits, ()) > MAX_ALIASES:
                 raise PlanError(Finding(Reason.ALIAS_LOOP, f"at most {MAX_ALIASES} aliases in a row, from {digits!r}"))
             yield
 
     def finish(self) -> Plan:
-        """Return the plan; call it once validate() is through."""
-        return Plan(self._numbers.freeze(), {k: v for k, v in self._others.items() if v}, self._state, self._size)
+        """Return the plan. May be called once, after validate() has been exhausted."""
+        return Plan(self._prefixes.freeze(),
+                    {kind: records for kind, records in self._records_by_kind.items() if records},
+                    self._state, self._size)
 
 
 def build(lines: Iterator[PlanLine], base: Plan | None = None) -> Plan:
-    """Make a plan of records in one go, as a command line does; raises Refused."""
+    """Build a plan from records in one step, as the command line does. Raises PlanError."""
     builder = PlanBuilder(base)
     for line in lines:
         builder.apply(line)
--- a/astertrack/plan/files.py
+++ b/astertrack/plan/files.py
@@ -1,4 +1,4 @@
-"""A plan as a TOML document of ours: the tables that a version's records are written in. Text in, records out."""
+"""Parser for plan files: TOML documents with one table per record. No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class VersionTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The `[version]` table: its number, the service's epoch, and from when it is in force (Unix ms; 0: at once)."""
+    """The `[version]` table: version number, epoch of the service, and activation time (Unix ms; 0: immediately)."""
 
     number: Annotated[int, msgspec.Meta(ge=1, lt=2**53)]
     epoch: Annotated[int, msgspec.Meta(ge=1, lt=2**53)] = 1
@@ -22,45 +22,48 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanFile:
-    """A plan as a file holds it."""
+    """The contents of a plan file."""
 
     version: VersionTable | None
     records: tuple[Record, ...]
 
 
 def read_plan(text: str) -> PlanFile:
-    """Read a document; raises Refused with a finding whose path names the table and field, as `prefix[3].digits`."""
+    """Parse a plan file.
+
+    Raises PlanError with a finding whose path names the table and the field, such as `prefix[3].digits`.
+    """
     try:
         raw: dict[str, Any] = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
         raise PlanError(Finding(Reason.SCHEMA, f"not TOML: {error}")) from None
     version = raw.pop("version", None)
-    head = None
+    version_table = None
     if version is not None:
         try:
-            head = msgspec.convert(version, VersionTable)
+            version_table = msgspec.convert(version, VersionTable)
         except msgspec.ValidationError as error:
             expected, path = split_validation_error(error)
             raise PlanError(Finding(Reason.SCHEMA, expected, 0, f"version.{path}".rstrip("."))) from None
     records: list[Record] = []
-    for kind, held in raw.items():
+    for kind, content in raw.items():
         if kind not in KINDS:
-            raise PlanError(Finding(Reason.SCHEMA, f"no such kind of record; known are {', '.join(KINDS)}", 0, kind))
-        tables = [held] if isinstance(held, dict) else held
+            raise PlanError(Finding(Reason.SCHEMA, f"a known kind of record: {', '.join(KINDS)}", 0, kind))
+        tables = [content] if isinstance(content, dict) else content
         if not isinstance(tables, list):
             raise PlanError(Finding(Reason.SCHEMA, "a table, or an array of tables", 0, kind))
-        for at, table in enumerate(tables):
+        for index, table in enumerate(tables):
             try:
                 records.append(read_table(kind, table, 0))
-            except PlanError as refused:
-                finding = refused.finding
-                path = f"{kind}[{at}]" + (f".{finding.path}" if finding.path else "")
+            except PlanError as table_error:
+                finding = table_error.finding
+                path = f"{kind}[{index}]" + (f".{finding.path}" if finding.path else "")
                 raise PlanError(Finding(finding.reason, finding.expected, 0, path)) from None
-    return PlanFile(head, tuple(records))
+    return PlanFile(version_table, tuple(records))
 
 
-def name_of(record: Record, records: tuple[Record, ...]) -> str:
-    """Return where a record stands in its file, as `choice[2]`, for findings that count records."""
+def record_path(record: Record, records: tuple[Record, ...]) -> str:
+    """Return the position of a record in its file, such as `choice[2]`, for findings that count records."""
     kind = kind_of(record)
-    same = [r for r in records if type(r) is type(record)]
-    return f"{kind}[{next(at for at, r in enumerate(same) if r is record)}]"
+    same_kind = [other for other in records if type(other) is type(record)]
+    return f"{kind}[{next(index for index, other in enumerate(same_kind) if other is record)}]"
--- a/astertrack/plan/model.py
+++ b/astertrack/plan/model.py
@@ -247,7 +247,7 @@
 def read_table(kind: str, table: object, line: int) -> Record:
     """Decode one TOML table of a plan file. Raises PlanError with a finding."""
     if kind not in KINDS:
-        raise PlanError(Finding(Reason.SCHEMA, f"no such kind of record; known are {', '.join(KINDS)}", 0, kind))
+        raise PlanError(Finding(Reason.SCHEMA, f"a known kind of record: {', '.join(KINDS)}", 0, kind))
     try:
         record: Record = msgspec.convert(table, KINDS[kind])
     except msgspec.ValidationError as error:
