--- a/astertrack/plan/compiled.py
+++ b/astertrack/plan/compiled.py
@@ -177,12 +177,12 @@
                 raise self._error(Reason.DOUBLED, f"the delta already has {line.key()!r}")
             self._delta_keys.add(kind_key)
         self._check_record(line)
-        before = self._store(line)
-        if before is not None:
+        previous = self._store(line)
+        if previous is not None:
             if self._delta_keys is None:
-                raise self._error(Reason.DOUBLED, f"there is a {kind_of(before)} "
-                                                  f"{before.key()!r} already")
-            self._account(before, -1)
+                raise self._error(Reason.DOUBLED, f"there is a {kind_of(previous)} "
+                                                  f"{previous.key()!r} already")
+            self._account(previous, -1)
         self._account(line, 1)
 
     def _account(self, record: Record, sign: int) -> None:
@@ -197,25 +197,25 @@
             return self._put_prefix(record.digits, record)
         kind = kind_of(record)
         records = self._records_by_kind[kind]
-        before: Record | None = records.get(record.key())
+        previous: Record | None = records.get(record.key())
         if isinstance(record, Range):
-            if before is not None:
-                self._expand_range(before, None)
+            if previous is not None:
+                self._expand_range(previous, None)
             self._expand_range(record, record)
-        if before is None and sum(map(len, self._records_by_kind.values())) >= MAX_OTHER_RECORDS:
+        if previous is None and sum(map(len, self._records_by_kind.values())) >= MAX_OTHER_RECORDS:
             raise self._error(Reason.TOO_MANY, f"at most {MAX_OTHER_RECORDS} records other than prefixes")
         records[record.key()] = record
-        return before
+        return previous
 
     def _put_prefix(self, digits: str, value: Value) -> Record | None:
-        before = self._prefixes.put(digits, value)
-        if isinstance(before, Range):
-            raise self._error(Reason.DOUBLED, f"prefix {digits!r} is within the range {before.key()}", "digits")
-        if isinstance(before, Alias):
+        previous = self._prefixes.put(digits, value)
+        if isinstance(previous, Range):
+            raise self._error(Reason.DOUBLED, f"prefix {digits!r} is within the range {previous.key()}", "digits")
+        if isinstance(previous, Alias):
             del self._records_by_kind["alias"][digits]
         if isinstance(value, Alias):
             self._records_by_kind["alias"][digits] = value
-        return self._as_record(digits, before)
+        return self._as_record(digits, previous)
 
     @staticmethod
     def _as_record(digits: str, value: Value | None) -> Record | None:
@@ -226,8 +226,8 @@
         for digits in covering_prefixes(record.first, record.last):
             if value is None:
                 self._prefixes.remove(digits)
-            elif (before := self._prefixes.put(digits, value)) is not None:
-                other = self._as_record(digits, before)
+            elif (previous := self._prefixes.put(digits, value)) is not None:
+                other = self._as_record(digits, previous)
                 raise self._error(Reason.DOUBLED, f"prefix {digits!r} of the range already exists as "
                                                   f"{kind_of(other) if other else ''} "
                                                   f"{other.key() if other else ''}", "first")
@@ -237,22 +237,22 @@
             raise self._error(Reason.SCHEMA, "no drop in a full version", "kind")
         if line.of not in KINDS:
             raise self._error(Reason.SCHEMA, f"a known kind of record: {', '.join(KINDS)}", "of")
-        before: Record | None
+        previous: Record | None
         if line.of in ("prefix", "barred", "alias"):
             value = self._prefixes.get(line.key_)
-            before = self._as_record(line.key_, value)
-            if type(before) is not KINDS[line.of]:
-                before = None
+            previous = self._as_record(line.key_, value)
+            if type(previous) is not KINDS[line.of]:
+                previous = None
             else:
                 self._prefixes.remove(line.key_)
                 self._records_by_kind["alias"].pop(line.key_, None)
         else:
-            before = self._records_by_kind[line.of].pop(line.key_, None)
-            if isinstance(before, Range):
-                self._expand_range(before, None)
-        if before is None:
+            previous = self._records_by_kind[line.of].pop(line.key_, None)
+            if isinstance(previous, Range):
+                self._expand_range(previous, None)
+        if previous is None:
             raise self._error(Reason.MISSING, f"there is no {line.of} {line.key_!r} to remove", "key")
-        self._account(before, -1)
+        self._account(previous, -1)
 
     # ---- validation of single records
 
