--- a/astertrack/versions/__init__.py
+++ b/astertrack/versions/__init__.py
@@ -1,12 +1,12 @@
-"""Versions of the routing plan: which is accepted, which is in force for a call, and which is taken back.
+"""Versions of the routing plan: which is accepted, which is in force for a call, and which is rolled back.
 
-Decides, on the clock it is given: whether a version that comes from a control service may come now (epochs,
-numbers, deltas and their bases), whether it is sound (in pieces, so that calls pass between them), from which
-instant it is in force, and whether the calls that it touched fail more often than chance allows (a difference of
-log odds ratios, Altman and Bland 2003, pooled over zones as by Woolf 1955), in which case it is rolled back.
+Decides, on the clock that it is given: whether a version from a control service is acceptable now (epochs, numbers,
+deltas and their bases), whether it is valid (in small steps, so that calls are processed in between), from which time
+on it is in force, and whether the calls that it affects fail more often than chance allows, in which case it is rolled
+back (a difference of log odds ratios, Altman and Bland 2003, pooled over zones as by Woolf 1955).
 
-What may never happen: a refused or half-received version changes what is in force; a number of one epoch means two
-plans; a version in force for one instant is another one when asked again for the same instant.
+Invariants: a refused or partly received version does not change what is in force; a version number of one epoch stands
+for one plan only; the version in force at a given time is the same whenever that time is queried.
 """
 
 from astertrack.versions.machine import VersionManager, VersionSettings
--- a/astertrack/versions/machine.py
+++ b/astertrack/versions/machine.py
@@ -152,7 +152,7 @@
         if not self._queue:
             return False
         head = self._queue[0]
-        if head.phase in (Phase.OPEN, Phase.WHOLE) and not head.run_step():
+        if head.phase in (Phase.OPEN, Phase.COMPLETE) and not head.run_step():
             return False
         self._advance(now_us)
         return True
@@ -161,7 +161,7 @@
         """Begin checking the oldest version, and put away those that are decided."""
         while self._queue:
             head = self._queue[0]
-            if head.phase in (Phase.OPEN, Phase.WHOLE) and not head.started:
+            if head.phase in (Phase.OPEN, Phase.COMPLETE) and not head.started:
                 base, finding = self._order(head.header)
                 if finding is not None:
                     head.refuse(finding)
@@ -192,10 +192,10 @@
         for receiving in list(reversed(self._queue)):
             header = receiving.header
             if later is not None and header.id < later and header.in_force_ms == 0 and not receiving.started and (
-                    receiving.phase is Phase.WHOLE and header.kind == "full"):
+                    receiving.phase is Phase.COMPLETE and header.kind == "full"):
                 self._queue.remove(receiving)
                 self._refused(header, Finding(Reason.SUPERSEDED, f"version {later} came before it was checked"), now_us)
-            elif receiving.phase is Phase.WHOLE and header.kind == "full" and header.in_force_ms == 0:
+            elif receiving.phase is Phase.COMPLETE and header.kind == "full" and header.in_force_ms == 0:
                 later = header.id if later is None else max(later, header.id)
             if header.kind == "delta":
                 later = None  # what it changes may be any of those before it
--- a/astertrack/versions/model.py
+++ b/astertrack/versions/model.py
@@ -1,4 +1,4 @@
-"""Versions of the plan: their numbers, what their heads say, what is reported of them and what is to be done."""
+"""Data types of plan versions: identifiers, headers, documents, reports, and the actions of the version manager."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from astertrack.plan import Finding, Plan, PlanError, Reason, write_line
 from astertrack.plan.model import PlanLine
 
-# A version of 100,000 prefixes has 5 MiB. Six times that is a bound for a service that has lost its way; settings
-# may name another one.
+# A version with 100,000 prefixes has 5 MiB. Six times that bounds what a faulty service can send; the settings may
+# give another limit.
 MAX_VERSION_BYTES = 32 * 2**20
-MAX_LINE_BYTES = 4 * 1024  # octets of one record; the longest sound one, a choice over 64 tandems, has under 1,000
+MAX_LINE_BYTES = 4 * 1024  # the longest valid record, a choice over 64 tandems, has less than 1,000
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class VersionId:
-    """A version's place in time: versions of a later epoch come after all of an earlier one."""
+    """The identifier of a version. Versions of a later epoch order after all versions of an earlier one."""
 
     epoch: int
     number: int
@@ -32,7 +32,7 @@
 
     @classmethod
     def parse(cls, text: str) -> VersionId:
-        """Read "epoch.number"; raises ValueError."""
+        """Parse "epoch.number". Raises ValueError."""
         epoch, dot, number = text.partition(".")
         if not dot or not (epoch.isascii() and epoch.isdigit() and number.isascii() and number.isdigit()):
             raise ValueError(f"not EPOCH.NUMBER: {text!r}")
@@ -44,78 +44,78 @@
 
 
 class Header(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What comes before a version's records. Unknown fields are passed over: a newer service may send more."""
+    """The header of a version. Unknown fields are ignored, since a newer service may send more."""
 
     epoch: Annotated[int, msgspec.Meta(ge=1, lt=2**53)]
     number: Annotated[int, msgspec.Meta(ge=1, lt=2**53)]
-    records: _Count  # lines that follow
-    octets: _Count  # of those lines, each with its end of line
-    digest: _Hex  # SHA-256 of those lines, each with its end of line
-    state: _Hex  # the digest of the plan that results, as astertrack.plan.model.digest sums it
+    records: _Count  # number of lines that follow
+    octets: _Count  # bytes of those lines, including their line ends
+    digest: _Hex  # SHA-256 of those lines, including their line ends
+    state: _Hex  # digest of the resulting plan: the sum of astertrack.plan.model.record_digest over its records
     kind: Literal["full", "delta"] = "full"
-    base: Annotated[int, msgspec.Meta(ge=1, lt=2**53)] | None = None  # of a delta: the version it changes
-    in_force_ms: _Count = 0  # Unix time from which it is in force; 0 or past: as soon as it is checked
+    base: Annotated[int, msgspec.Meta(ge=1, lt=2**53)] | None = None  # number of the version that a delta changes
+    in_force_ms: _Count = 0  # Unix time from which it is in force; 0 or past: as soon as it has been validated
 
     @property
     def id(self) -> VersionId:
-        """The version's place in time."""
+        """The identifier of the version."""
         return VersionId(self.epoch, self.number)
 
 
-_headers = msgspec.json.Decoder(Header)
+_header_decoder = msgspec.json.Decoder(Header)
 
 
 def read_header(raw: bytes | str) -> Header:
-    """Read a head, or raise Refused with its finding."""
+    """Decode a header. Raises PlanError with a finding."""
     try:
-        return _headers.decode(raw)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as wrong:
-        expected, path = split_validation_error(wrong)
+        return _header_decoder.decode(raw)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        expected, path = split_validation_error(error)
         raise PlanError(Finding(Reason.SCHEMA, expected, 0, path)) from None
 
 
 def write_header(header: Header) -> bytes:
-    """Put a head into JSON."""
+    """Encode a header as JSON."""
     return msgspec.json.encode(header)
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A whole version: its head and its lines, as they go over the wire and into the store."""
+    """A complete version: its header and its lines, as they are sent over the wire and written to the store."""
 
     header: Header
     lines: tuple[bytes, ...]
 
     def text(self) -> bytes:
-        """Return the lines as one text, each with its end of line."""
+        """Return the lines with their line ends as one byte string."""
         return b"".join(line + b"\n" for line in self.lines)
 
 
 def make_document(id: VersionId, lines: Iterable[PlanLine], state: int, base: int | None = None,
                   in_force_ms: int = 0) -> Document:
-    """Make the document of a full version, or with a base that of a delta."""
-    raw = tuple(write_line(line) for line in lines)
+    """Create the document of a full version or, if base is given, of a delta on that version."""
+    encoded = tuple(write_line(line) for line in lines)
     digest, octets = hashlib.sha256(), 0
-    for line in raw:
+    for line in encoded:
         digest.update(line + b"\n")
         octets += len(line) + 1
-    return Document(Header(id.epoch, id.number, len(raw), octets, digest.hexdigest(), f"{state:064x}",
-                           "full" if base is None else "delta", base, in_force_ms), raw)
+    return Document(Header(id.epoch, id.number, len(encoded), octets, digest.hexdigest(), f"{state:064x}",
+                           "full" if base is None else "delta", base, in_force_ms), encoded)
 
 
 class VersionState(Enum):
-    """What is reported of a version."""
+    """The states of a version, as reported to the control service."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
     IN_FORCE = "in-force"
     SUPERSEDED = "superseded"
-    SETTLED = "settled"  # its probation is over, and it stays
+    SETTLED = "settled"  # its probation has ended, and it stays in force
     ROLLED_BACK = "rolled-back"
 
 
 class Report(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One line of a router's status. `boot` and `seq` name it: heard twice, it is the same one."""
+    """A status report of a router on one version. `boot` and `seq` identify it, so that duplicates are recognised."""
 
     router: str
     boot: str
@@ -123,38 +123,39 @@
     epoch: int
     number: int
     stand: str
-    at_us: int  # the instant at which it became so
+    at_us: int  # time of the change of state
     reason: str = ""
     line: int = 0
     path: str = ""
     expected: str = ""
-    to: str = ""  # of a roll-back: the version in force again
+    to: str = ""  # after a rollback: the version that is in force again
 
 
 @dataclass(frozen=True, slots=True)
 class ActiveVersion:
-    """The version that calls follow from an instant on."""
+    """A version that is in force for calls admitted from `since_us` on."""
 
     id: VersionId
     plan: Plan
     since_us: int
 
 
-# ---- what the machine asks its driver to do
+# ---- actions that the version manager requests from its driver
 
 
 @dataclass(frozen=True, slots=True)
 class SendReport:
-    """Report to the service until it has been heard."""
+    """Send a report to the service until the service has acknowledged it."""
 
     report: Report
 
 
 @dataclass(frozen=True, slots=True)
 class StoreVersion:
-    """Write an accepted version to the store, where there is one. Its text comes in the pieces in which it came.
+    """Write an accepted version to the store, if there is one. The text has the pieces in which it was received.
 
-    Few large pieces, not lines: a thread that handled 100,000 of those would keep the program's lock from the calls.
+    It has few large pieces instead of lines: a thread that handles 100,000 lines would hold the interpreter lock and
+    delay calls.
     """
 
     header: Header
@@ -163,19 +164,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SetCurrentVersion:
-    """Make this version the one that the store serves at a start."""
+    """Make this version the one that is loaded from the store at the next start."""
 
     id: VersionId
 
 
 @dataclass(frozen=True, slots=True)
 class RequestFullVersion:
-    """Ask the service for a full version: what it sends builds on something that is not here."""
+    """Request a full version from the service, since a delta refers to a base that is not available here."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """A line for the log."""
+    """Write an event to the log."""
 
     event: str
     values: tuple[tuple[str, object], ...] = ()
--- a/astertrack/versions/offering.py
+++ b/astertrack/versions/offering.py
@@ -1,4 +1,4 @@
-"""The service's side: which versions a router is sent, and what the routers have said of them. No I/O."""
+"""The service side: which version document a router is sent, and a log of the reports from routers. No I/O."""
 
 from __future__ import annotations
 
@@ -12,28 +12,31 @@
 from astertrack.plan.model import Record, kind_of
 from astertrack.versions.model import Document, Report, VersionId, make_document
 
-PLANS_MOST = 32  # latest plans held, from which deltas are made
-SEEN_MOST = 65_536  # reports remembered, so that one heard twice counts once
-DELTA_SHARE = 0.5  # of a plan's records: a delta of more is sent as a full version
+MAX_PLANS = 32  # latest plans kept as bases of deltas
+MAX_REMEMBERED_REPORTS = 65_536  # for the detection of duplicates
+MAX_DELTA_RATIO = 0.5  # of a plan's records; above it a full version is sent instead of a delta
 
 
 def kind_and_key(record: Record) -> tuple[str, str]:
-    """Return by what a delta names a record."""
+    """Return the kind and key by which a delta identifies a record."""
     return kind_of(record), record.key()
 
 
 def difference(old: Plan, new: Plan) -> list[PlanLine]:
-    """Return the lines that make the new plan of the old one: what is gone first, for a prefix may change its kind."""
+    """Return the lines of the delta from the old to the new plan.
+
+    Removals come first, since a prefix may change its kind.
+    """
     before = {kind_and_key(record): record for record in old.records()}
     after = {kind_and_key(record): record for record in new.records()}
-    gone = sorted(set(before) - set(after))
+    removed = sorted(set(before) - set(after))
     changed = [record for name, record in after.items() if before.get(name) != record]
-    return [*(Drop(kind, key) for kind, key in gone), *changed]
+    return [*(Drop(kind, key) for kind, key in removed), *changed]
 
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """A plan under its version."""
+    """A published plan with its version."""
 
     id: VersionId
     plan: Plan
@@ -45,40 +48,44 @@
 
     def __init__(self) -> None:
         self._published: OrderedDict[VersionId, Published] = OrderedDict()
-        self._full: Document | None = None  # of the latest
-        self._deltas: dict[VersionId, Document] = {}  # to the latest, by base
+        self._full: Document | None = None  # of the latest version
+        self._deltas: dict[VersionId, Document] = {}  # deltas to the latest version, by base
 
     @property
     def latest(self) -> Published | None:
-        """The version that routers should have."""
+        """The latest published version, which routers should have."""
         return next(reversed(self._published.values()), None)
 
     def publish(self, id: VersionId, plan: Plan, in_force_ms: int = 0) -> None:
-        """Take the next version; raises ValueError unless it comes after all others."""
+        """Publish the next version. Raises ValueError unless it orders after all others."""
         if self.latest is not None and id <= self.latest.id:
             raise ValueError(f"version {id} does not come after {self.latest.id}")
         self._published[id] = Published(id, plan, in_force_ms)
-        if len(self._published) > PLANS_MOST:
+        if len(self._published) > MAX_PLANS:
             self._published.popitem(last=False)
         self._full, self._deltas = None, {}
 
     def document_for(self, after: str, full: bool) -> Document | None:
-        """Return what a router that has accepted a version is sent; None: nothing is newer."""
+        """Return the document for a router whose latest accepted version is `after`; None if nothing is newer.
+
+        It is a delta if the base is still known and the delta is small enough, or a full version. `full` forces the
+        latter.
+        """
         latest = self.latest
         if latest is None or (after == str(latest.id) and not full):
             return None
         try:
-            held = self._published.get(VersionId.parse(after))
+            base = self._published.get(VersionId.parse(after))
         except ValueError:
-            held = None
-        if not full and held is not None and held.id.epoch == latest.id.epoch and held.id < latest.id:
-            if held.id not in self._deltas:
-                lines = difference(held.plan, latest.plan)
-                if len(lines) <= DELTA_SHARE * latest.plan.size:
-                    self._deltas[held.id] = make_document(latest.id, lines, latest.plan.state, held.id.number,
+            base = None
+        if not full and base is not None and base.id.epoch == latest.id.epoch and base.id < latest.id:
+            if base.id not in self._deltas:
+                lines = difference(base.plan, latest.plan)
+                if len(lines) <= MAX_DELTA_RATIO * latest.plan.size:
+                    self._deltas[base.id] = make_document(latest.id, lines, latest.plan.state, base.id.number,
                                                           latest.in_force_ms)
-            if held.id in self._deltas:
-                return self._deltas[held.id]
+            if base.id in self._deltas:
+                return self._deltas[base.id]
         if self._full is None:
             self._full = make_document(latest.id, latest.plan.records(), latest.plan.state,
                                        in_force_ms=latest.in_force_ms)
@@ -86,51 +93,51 @@
 
 
 class ReportLog:
-    """What routers have reported; a report heard twice counts once."""
+    """The reports of all routers. A duplicate report counts once."""
 
     def __init__(self) -> None:
         self._seen: OrderedDict[tuple[str, str, int], None] = OrderedDict()
-        self.latest: dict[tuple[str, VersionId], Report] = {}  # latest of each router and version
+        self.latest: dict[tuple[str, VersionId], Report] = {}  # by router and version
         self.in_force: dict[str, Report] = {}  # by router
         self.repeated = 0
 
     def add(self, reports: list[Report]) -> list[Report]:
-        """Take a batch; return those that are new."""
+        """Add a batch of reports; return those that are not duplicates."""
         new = []
         for report in reports:
-            name = (report.router, report.boot, report.seq)
-            if name in self._seen:
+            report_id = (report.router, report.boot, report.seq)
+            if report_id in self._seen:
                 self.repeated += 1
                 continue
-            self._seen[name] = None
-            if len(self._seen) > SEEN_MOST:
+            self._seen[report_id] = None
+            if len(self._seen) > MAX_REMEMBERED_REPORTS:
                 self._seen.popitem(last=False)
             id = VersionId(report.epoch, report.number)
             self.latest[report.router, id] = report
             if report.stand in ("in-force", "settled"):
                 self.in_force[report.router] = report
             new.append(report)
-        if len(self.latest) > SEEN_MOST:
-            for name_id in list(self.latest)[:len(self.latest) - SEEN_MOST]:
-                del self.latest[name_id]
+        if len(self.latest) > MAX_REMEMBERED_REPORTS:
+            for router_version in list(self.latest)[:len(self.latest) - MAX_REMEMBERED_REPORTS]:
+                del self.latest[router_version]
         return new
 
     def latest_reports(self) -> Iterator[Report]:
-        """Yield the latest stand of each router and version, the newest version first."""
-        yield from sorted(self.latest.values(), key=lambda r: (-r.epoch, -r.number, r.router))
+        """Yield the latest report of each router on each version, the newest version first."""
+        yield from sorted(self.latest.values(), key=lambda report: (-report.epoch, -report.number, report.router))
 
 
-_reports = msgspec.json.Decoder(list[Report])
+_report_decoder = msgspec.json.Decoder(list[Report])
 
 
 def read_reports(body: bytes) -> list[Report]:
-    """Read the body of a status message; raises ValueError with what was expected."""
+    """Decode the body of a status message. Raises ValueError with the expected value."""
     try:
-        return _reports.decode(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as wrong:
-        raise ValueError(str(wrong)) from None
+        return _report_decoder.decode(body)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise ValueError(str(error)) from None
 
 
 def write_reports(reports: tuple[Report, ...] | list[Report]) -> bytes:
-    """Put reports into the body of a status message."""
+    """Encode reports as the body of a status message."""
     return msgspec.json.encode(reports)
--- a/astertrack/versions/reports.py
+++ b/astertrack/versions/reports.py
@@ -1,4 +1,4 @@
-"""What is still to be told to the service: kept until heard, told again with jitter and back-off, bounded."""
+"""The queue of reports to the service: bounded, resent with backoff and jitter until they are acknowledged."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 from astertrack.versions.model import Report, VersionState
 
-MAX_PENDING_REPORTS = 4_096  # reports; beyond that the oldest of versions that no longer matter are let go, and counted
-MAX_BATCH_REPORTS = 256  # reports in one message
-AGAIN_LEAST_US, AGAIN_MOST_US = 200_000, 10_000_000  # between tries, doubling
-PASSING = {VersionState.ACCEPTED.value, VersionState.SUPERSEDED.value, VersionState.SETTLED.value}
+MAX_PENDING_REPORTS = 4_096  # beyond it the oldest reports in a transient state are dropped first, and counted
+MAX_BATCH_REPORTS = 256  # per message
+MIN_RETRY_US, MAX_RETRY_US = 200_000, 10_000_000  # exponential backoff between attempts, doubling
+TRANSIENT_STATES = {VersionState.ACCEPTED.value, VersionState.SUPERSEDED.value, VersionState.SETTLED.value}
 
 
 class Outbox:
-    """Reports by their sequence numbers. One batch is out at a time; what is not heard is told again."""
+    """Pending reports by sequence number. One batch is in flight at a time; unacknowledged reports are sent again."""
 
     def __init__(self, source: random.Random) -> None:
-        self._waiting: OrderedDict[int, Report] = OrderedDict()
+        self._pending: OrderedDict[int, Report] = OrderedDict()
         self._random = source
         self._failures = 0
         self.dropped = 0
@@ -25,33 +25,40 @@
         self.not_before_us = 0
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._pending)
 
     def add(self, report: Report) -> None:
-        """Take a report to be told."""
-        if len(self._waiting) >= MAX_PENDING_REPORTS:
-            # Refusals and what is in force matter for longest; the passing stands of old versions go first.
-            oldest = next((seq for seq, r in self._waiting.items() if r.stand in PASSING), next(iter(self._waiting)))
-            del self._waiting[oldest]
+        """Add a report to be sent."""
+        if len(self._pending) >= MAX_PENDING_REPORTS:
+            # Refusals and the version in force stay relevant for longest; transient states of old versions go first.
+            discarded = next((seq for seq, pending in self._pending.items() if pending.stand in TRANSIENT_STATES),
+                             next(iter(self._pending)))
+            del self._pending[discarded]
             self.dropped += 1
-        self._waiting[report.seq] = report
+        self._pending[report.seq] = report
 
     def take_batch(self, now_us: int) -> tuple[Report, ...]:
-        """Return what to tell now, oldest first, and count it as out; empty: nothing, or it is too early."""
-        if self.in_flight or not self._waiting or now_us < self.not_before_us:
+        """Return the reports to send now, oldest first, and mark them as in flight.
+
+        The result is empty if nothing is pending, a batch is in flight, or the backoff has not expired.
+        """
+        if self.in_flight or not self._pending or now_us < self.not_before_us:
             return ()
         self.in_flight = True
-        return tuple(report for report, _ in zip(self._waiting.values(), range(MAX_BATCH_REPORTS), strict=False))
+        return tuple(report for report, _ in zip(self._pending.values(), range(MAX_BATCH_REPORTS), strict=False))
 
     def acknowledge(self, batch: tuple[Report, ...]) -> None:
-        """The service has heard these."""
+        """Remove the reports that the service has acknowledged."""
         self.in_flight, self._failures, self.not_before_us = False, 0, 0
         for report in batch:
-            self._waiting.pop(report.seq, None)
+            self._pending.pop(report.seq, None)
 
     def delivery_failed(self, now_us: int) -> None:
-        """The service may or may not have heard: tell it again, later each time, and never in step with others."""
+        """Schedule the batch to be sent again, since the service may not have received it.
+
+        The backoff doubles with each failure and has jitter, so that routers do not retry in step.
+        """
         self.in_flight = False
-        longest = min(AGAIN_MOST_US, AGAIN_LEAST_US << min(self._failures, 16))
+        backoff_us = min(MAX_RETRY_US, MIN_RETRY_US << min(self._failures, 16))
         self._failures += 1
-        self.not_before_us = now_us + int(longest * (0.5 + 0.5 * self._random.random()))
+        self.not_before_us = now_us + int(backoff_us * (0.5 + 0.5 * self._random.random()))
