--- a/astertrack/app.py
+++ b/astertrack/app.py
@@ -166,7 +166,7 @@
 
     def print_counts(self) -> None:
         """Print the counters, one line."""
-        self.counts["store_waiting"] = self.store.waiting()
+        self.counts["store_waiting"] = self.store.pending_count()
         for part in self.parts:
             part.update_counters()
         figures = " ".join(f"{name}={self.counts[name]}" for name in sorted(self.counts))
--- a/astertrack/store/__init__.py
+++ b/astertrack/store/__init__.py
@@ -1,4 +1,4 @@
-"""The store of record: what became of each call. Off the call path, and off unless it is asked for."""
+"""Persistent storage of call records and plan versions, outside the call path. Disabled unless configured."""
 
 from astertrack.store.records import NullStore, SqlStore, Store, make_store
 
--- a/astertrack/store/versions.py
+++ b/astertrack/store/versions.py
@@ -1,9 +1,9 @@
-"""Accepted versions on disk: whole files under digests, and a pointer that is replaced in one step.
+"""Accepted versions on disk: one file per version, and a pointer file that is replaced atomically.
 
-A version is a file of its own, written beside its place, synced and renamed; the pointer, `current`, names the
-files that make the last good version (a full one and the deltas on it) with their digests, and is replaced the same
-way. Whenever the power goes, either the old pointer or the new one is there, and what it names is whole. What no
-pointer names is removed later. All calls here block: the program makes them in a thread.
+A version is written to a temporary file, synced and renamed. The pointer file, `current`, lists the files of the last
+good version (a full one and the deltas on it) with their digests, and is replaced in the same way. After a power
+failure at any time, either the old or the new pointer exists, and the files that it lists are complete. Files that no
+pointer refers to are removed later. All calls block: the program makes them in a thread.
 """
 
 from __future__ import annotations
@@ -21,58 +21,61 @@
 from astertrack.versions import Header, VersionId, read_header, write_header
 
 CURRENT_POINTER, PREVIOUS_POINTER = "current", "previous"
-MAX_CHAIN_DELTAS = 64  # deltas on one full version; beyond that a full one is written
+MAX_CHAIN_DELTAS = 64  # deltas on one full version; beyond it a full version is written
 
 
 class StoreError(Exception):
-    """What is on disk cannot be used; the text says what and why."""
+    """Raised when the files on disk cannot be used; the message says which and why."""
 
 
-class _Link(msgspec.Struct, frozen=True):
-    """One file of the chain."""
+class _ChainLink(msgspec.Struct, frozen=True):
+    """A file of a chain, with its digest."""
 
     file: str
     digest: str
 
 
 class _Pointer(msgspec.Struct, frozen=True):
-    """What `current` holds."""
+    """The contents of a pointer file: a version, and the chain of files from which it is built."""
 
     epoch: int
     number: int
-    chain: list[_Link]
+    chain: list[_ChainLink]
 
 
 @dataclass(frozen=True, slots=True)
 class StoredVersion:
-    """What the store had."""
+    """The version that was loaded from the store."""
 
     id: VersionId
     plan: Plan
 
 
-def sync_folder(folder: Path) -> None:
-    """Make the names in a folder last."""
-    handle = os.open(folder, os.O_RDONLY)
+def fsync_directory(directory: Path) -> None:
+    """Make the names in a directory durable."""
+    descriptor = os.open(directory, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
 
 
 class VersionFiles:
-    """The folder of one router. `step` is called before each step that a crash can fall between; tests crash there."""
+    """The directory of stored versions of one router.
+
+    `step` is called before each step of a write, between which a crash can occur; tests simulate crashes there.
+    """
 
     def __init__(self, folder: Path, step: Callable[[str], None] = lambda name: None) -> None:
         self.folder, self._step = folder, step
-        self._chains: dict[VersionId, list[_Link]] = {}
+        self._chains: dict[VersionId, list[_ChainLink]] = {}
 
     def _write(self, name: str, pieces: Iterable[bytes]) -> str:
-        """Write a file whole or not at all, whenever the power goes; return the digest of what it holds."""
+        """Write a file atomically, so that a power failure leaves it complete or absent; return its SHA-256."""
         digest = hashlib.sha256()
-        beside = self.folder / f".{name}.new"
+        temporary = self.folder / f".{name}.new"
         self._step("write")
-        with beside.open("wb") as out:
+        with temporary.open("wb") as out:
             for piece in pieces:
                 digest.update(piece)
                 out.write(piece)
@@ -80,34 +83,34 @@
             self._step("fsync")
             os.fsync(out.fileno())
         self._step("rename")
-        beside.replace(self.folder / name)
+        temporary.replace(self.folder / name)
         self._step("sync folder")
-        sync_folder(self.folder)
+        fsync_directory(self.folder)
         return digest.hexdigest()
 
     def save(self, header: Header, text: Iterable[bytes]) -> bool:
-        """Write an accepted version, whose text may come in pieces of any size.
+        """Write an accepted version, whose text may be in pieces of any size.
 
-        False: it is a delta on one that is not here, and cannot be kept.
+        Returns False if it is a delta on a version that is not stored, and therefore cannot be stored either.
         """
         self.folder.mkdir(parents=True, exist_ok=True)
-        before: list[_Link] = []
+        base_chain: list[_ChainLink] = []
         if header.kind == "delta":
-            found = self._chains.get(VersionId(header.epoch, header.base or 0))
-            if found is None:
+            stored_chain = self._chains.get(VersionId(header.epoch, header.base or 0))
+            if stored_chain is None:
                 return False
-            before = found
+            base_chain = stored_chain
         name = f"{header.epoch}.{header.number}.{header.kind}"
         digest = self._write(name, (write_header(header) + b"\n", *text))
-        self._chains[header.id] = [*before, _Link(name, digest)]
+        self._chains[header.id] = [*base_chain, _ChainLink(name, digest)]
         return True
 
     def chain_too_long(self, id: VersionId) -> bool:
-        """Whether a version stands on so many deltas that it should be written whole."""
+        """Return whether a version is built from so many deltas that it should be written as a full version."""
         return len(self._chains.get(id, ())) > MAX_CHAIN_DELTAS
 
     def set_current(self, id: VersionId) -> bool:
-        """Make a version the one that is served at a start; False: it is not here."""
+        """Make a version the one that is loaded at the next start. Returns False if it is not stored."""
         chain = self._chains.get(id)
         if chain is None:
             return False
@@ -115,18 +118,18 @@
         if current.exists():
             self._write(PREVIOUS_POINTER, (current.read_bytes(),))
         self._write(CURRENT_POINTER, (msgspec.json.encode(_Pointer(id.epoch, id.number, chain)),))
-        self._clean(id)
+        self._remove_unreferenced(id)
         return True
 
-    def _clean(self, id: VersionId) -> None:
-        """Remove the files that neither pointer names and no later version stands on."""
-        self._chains = {held: chain for held, chain in self._chains.items() if held >= id}
-        wanted = {link.file for chain in self._chains.values() for link in chain}
+    def _remove_unreferenced(self, id: VersionId) -> None:
+        """Remove the files that neither pointer refers to and that no later version is built from."""
+        self._chains = {other: chain for other, chain in self._chains.items() if other >= id}
+        referenced = {link.file for chain in self._chains.values() for link in chain}
         for pointer in (CURRENT_POINTER, PREVIOUS_POINTER):
             with contextlib.suppress(OSError, msgspec.DecodeError):
-                wanted |= {link.file for link in self._read_pointer(pointer).chain}
+                referenced |= {link.file for link in self._read_pointer(pointer).chain}
         for path in self.folder.iterdir():
-            if path.suffix in (".full", ".delta", ".new") and path.name not in wanted:
+            if path.suffix in (".full", ".delta", ".new") and path.name not in referenced:
                 self._step("remove")
                 path.unlink(missing_ok=True)
 
@@ -134,8 +137,8 @@
         return msgspec.json.decode((self.folder / name).read_bytes(), type=_Pointer)
 
     def load(self) -> tuple[StoredVersion | None, list[str]]:
-        """Return the last good version, or the one before if that is spoilt; and what was wrong on the way."""
-        wrong: list[str] = []
+        """Return the last good version, or the previous one if that is corrupt, and the errors that occurred."""
+        errors: list[str] = []
         for name in (CURRENT_POINTER, PREVIOUS_POINTER):
             if not (self.folder / name).exists():
                 continue
@@ -143,12 +146,12 @@
                 pointer = self._read_pointer(name)
                 plan = self._build(pointer)
             except (OSError, msgspec.DecodeError, StoreError) as error:
-                wrong.append(f"{name}: {error}")
+                errors.append(f"{name}: {error}")
                 continue
             id = VersionId(pointer.epoch, pointer.number)
             self._chains[id] = pointer.chain
-            return StoredVersion(id, plan), wrong
-        return None, wrong
+            return StoredVersion(id, plan), errors
+        return None, errors
 
     def _build(self, pointer: _Pointer) -> Plan:
         plan = Plan()
@@ -157,18 +160,18 @@
                 raise StoreError(f"{link.file}: not a file of this folder")
             data = (self.folder / link.file).read_bytes()
             if hashlib.sha256(data).hexdigest() != link.digest:
-                raise StoreError(f"{link.file}: its digest is not the one that was written")
-            head, *lines = data.split(b"\n")[:-1]
+                raise StoreError(f"{link.file}: digest mismatch")
+            header_line, *lines = data.split(b"\n")[:-1]
             try:
-                header = read_header(head)
+                header = read_header(header_line)
                 builder = PlanBuilder(plan if header.kind == "delta" else None)
-                for at, line in enumerate(lines, 1):
-                    builder.apply(read_line(line, at))
+                for number, line in enumerate(lines, 1):
+                    builder.apply(read_line(line, number))
                 for _ in builder.validate():
                     pass
-            except PlanError as refused:
-                raise StoreError(f"{link.file}: {refused}") from None
+            except PlanError as plan_error:
+                raise StoreError(f"{link.file}: {plan_error}") from None
             plan = builder.finish()
             if f"{plan.state:064x}" != header.state:
-                raise StoreError(f"{link.file}: makes another plan than it did")
+                raise StoreError(f"{link.file}: the resulting plan does not match the digest in the header")
         return plan
