--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -180,8 +180,9 @@
         zones, at = config.zones, config.settings.zone
         zone = zones[at] if 0 <= at < len(zones) else ""
         self.source = random.Random(config.seed)
-        self.versions = VersionManager(VersionSettings(config.name, zone, int(settings.probation.seconds * 1e6),
-                                       settings.limits.octets, bool(settings.store.folder)), self.source)
+        self.versions = VersionManager(
+            VersionSettings(config.name, zone, int(settings.probation.seconds * 1e6), settings.limits.octets,
+                            bool(settings.store.folder)), self.source)
         self.files = VersionFiles(Path(settings.store.folder)) if settings.store.folder else None
         if self.files is not None:
             sys.setswitchinterval(SWITCH_S)
--- a/astertrack/versions/model.py
+++ b/astertrack/versions/model.py
@@ -171,7 +171,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFullVersion:
-    """Request a full version from the service, since a delta refers to a base that is not available here."""
+    """Request a full version from the service.
+
+    What it sent was incomplete, corrupt, or a delta on a base that is not available here.
+    """
 
 
 @dataclass(frozen=True, slots=True)
--- a/astertrack/versions/probation.py
+++ b/astertrack/versions/probation.py
@@ -1,6 +1,6 @@
 """Probation of a version: a test whether its calls fail more often than calls before it and calls it does not affect.
 
-The calls since the version came into force are unaffected with the latest calls before it. A version changes the route
+The calls since the version came into force are compared with the latest calls before it. A version changes the route
 of some calls (affected calls) and leaves others unchanged; which group a call belongs to is found by resolving it
 under both plans. A zone that is cut off or a surge raises the failure rate of both groups, a bad version only that of
 the affected calls. Therefore the test statistic is, per zone, the change of the log odds of failure of affected calls
