--- a/astertrack/plan/compiled.py
+++ b/astertrack/plan/compiled.py
@@ -35,7 +35,7 @@
     kind_of,
     record_digest,
 )
-from astertrack.plan.trie import Editor, PrefixTrie
+from astertrack.plan.trie import PrefixTrie, TrieEditor
 
 MAX_RECORDS = 2_000_000  # per plan; memory limits an installation sooner
 MAX_OTHER_RECORDS = 20_000  # records other than prefixes, per plan
@@ -149,7 +149,7 @@
     def __init__(self, base: Plan | None = None) -> None:
         base = base if base is not None else Plan()
         self._base = base
-        self._prefixes: Editor[Value] = base.prefixes.edit()
+        self._prefixes: TrieEditor[Value] = base.prefixes.edit()
         self._records_by_kind = {
             kind: dict(base.records_of(kind)) for kind in KINDS if kind not in ("prefix", "barred")}
         self._state, self._size = base.state, base.size
--- a/astertrack/plan/trie.py
+++ b/astertrack/plan/trie.py
@@ -5,7 +5,7 @@
 that exceeds its capacity is burst into a node. Here a container is a dict of suffixes, which is the fastest small map
 in Python, and equal suffix strings are shared among containers.
 
-The trie is persistent (Driscoll, Sarnak, Sleator and Tarjan, "Making data structures persistent", 1989): an Editor
+The trie is persistent (Driscoll, Sarnak, Sleator and Tarjan, "Making data structures persistent", 1989): a TrieEditor
 copies only the nodes on the path to a change. Two versions of a plan share all other nodes, and a superseded version
 costs only the memory of the nodes that it alone uses. Nodes that were created by the same edit are changed in place.
 benchmarks/plan_lookup.py compares the trie with a dict of prefixes and with a linear scan.
@@ -101,12 +101,12 @@
         for digit in sorted(current.children):
             yield from self._walk(current.children[digit], path + digit, "")
 
-    def edit(self) -> Editor[T]:
+    def edit(self) -> TrieEditor[T]:
         """Start an edit that creates the next version; this one does not change."""
-        return Editor(self._root, self.size)
+        return TrieEditor(self._root, self.size)
 
 
-class Editor(Generic[T]):
+class TrieEditor(Generic[T]):
     """A mutable successor of a PrefixTrie. Must not be used after freeze()."""
 
     def __init__(self, root: _Node[T] | _Container[T], size: int) -> None:
--- a/astertrack/versions/machine.py
+++ b/astertrack/versions/machine.py
@@ -167,10 +167,10 @@
                 base, finding = self._check_order(head.header)
                 if finding is not None:
                     head.refuse(finding)
-                    again = self._seen.get(head.header.id)
-                    if finding.reason is Reason.SUPERSEDED and again is not None:
+                    remembered = self._seen.get(head.header.id)
+                    if finding.reason is Reason.SUPERSEDED and remembered is not None:
                         self._queue.popleft()
-                        self._repeat_report(again[1])
+                        self._repeat_report(remembered[1])
                         continue
                 else:
                     head.start(base)
