--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -22,25 +22,25 @@
 from astertrack.net.control import TICK_INTERVAL_US, ControlClient
 from astertrack.parts import read_toml
 from astertrack.parts.model import PartContext
-from astertrack.plan import Asked, Desk, Passed, Plan, Refused, Turned, build, write_line
+from astertrack.plan import Plan, PlanAdmission, PlanError, PlanEvaluator, PlanRefusal, RouteQuery, build, write_line
 from astertrack.plan.files import read_plan
 from astertrack.store.versions import VersionFiles
 from astertrack.versions import (
+    ActiveVersion,
+    CallOutcome,
     Header,
-    InForce,
-    Keep,
-    Outcome,
-    Point,
-    Rules,
+    SetCurrentVersion,
+    StoreVersion,
     VersionId,
-    Versions,
+    VersionManager,
+    VersionSettings,
     make_document,
     write_header,
 )
 from ospreylug import interface as io
 
 log = structlog.get_logger()
-NO_PLAN_WAIT_US = 2_000_000  # a call that needs a plan to find its way, and there is none yet
+NO_PLAN_WAIT_US = 2_000_000  # a call that needs a plan to find its route, and there is none yet
 CUT_SHARE = 0.5  # of a zone's exchanges that do not answer: the zone is taken for cut off
 # The store's thread gives the interpreter's lock back so soon when calls want it; by default they wait 5 ms.
 SWITCH_S = 0.0005
@@ -97,11 +97,11 @@
         read = read_plan(path.read_text("utf-8"))
     except (OSError, UnicodeDecodeError) as wrong:
         raise ConfigError(f"{path}: {wrong}") from None
-    except Refused as refused:
+    except PlanError as refused:
         raise ConfigError(f"{path}: {refused}") from None
     try:
         plan = build(iter(read.records))
-    except Refused as refused:
+    except PlanError as refused:
         finding = refused.finding
         record = read.records[finding.line - 1] if finding.line else None
         where = f"{record.__struct_config__.tag} {record.key()!r}: " if record is not None else ""
@@ -116,8 +116,8 @@
 class _Token:
     """What the policy keeps of a call: its version from its first moment on."""
 
-    version: InForce
-    passed: Passed
+    version: ActiveVersion
+    passed: PlanAdmission
     dest: int  # as its caller gave it
 
 
@@ -127,24 +127,24 @@
     name = "plan"
     fail_closed = False
 
-    def __init__(self, versions: Versions, desk: Desk) -> None:
-        self.versions, self.desk = versions, desk
+    def __init__(self, versions: VersionManager, evaluator: PlanEvaluator) -> None:
+        self.versions, self.evaluator = versions, evaluator
 
     def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
         """Resolve, narrow or refuse a call by the version in force at this instant."""
-        version = self.versions.due(now_us)
+        version = self.versions.activate_due(now_us)
         if version is None:
             return Refusal("no-plan", NO_PLAN_WAIT_US) if request.dest < 0 else None
         dest = request.dest
-        verdict = self.desk.admit(version.plan, Asked(request.number, dest, request.service_name, request.transit),
-                                  now_us)
+        verdict = self.evaluator.admit(
+            version.plan, RouteQuery(request.number, dest, request.service_name, request.transit), now_us)
         label = str(version.id)
-        if isinstance(verdict, Turned):
+        if isinstance(verdict, PlanRefusal):
             if verdict.cause == "unmatched" and not request.transit:
                 self._outcome(version, request, dest, now_us, failed=True)
             return Refusal(verdict.cause, verdict.wait_us, label)
-        way = verdict.way
-        return Approval(way.dest, RouteConstraint(way.tiers, way.never), label, _Token(version, verdict, dest))
+        route = verdict.route
+        return Approval(route.dest, RouteConstraint(route.tiers, route.never), label, _Token(version, verdict, dest))
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
         """The constraint has said it."""
@@ -158,15 +158,16 @@
         if isinstance(token, _Token) and final is not FinalResult.CANCELLED and not request.transit:
             self._outcome(token.version, request, token.dest, now_us, final is not FinalResult.ANSWERED)
 
-    def _outcome(self, version: InForce, request: Request, dest: int, now_us: int, failed: bool) -> None:
-        exchange = version.plan.of("exchange").get(str(request.dest))
+    def _outcome(self, version: ActiveVersion, request: Request, dest: int, now_us: int, failed: bool) -> None:
+        exchange = version.plan.records_of("exchange").get(str(request.dest))
         zone = exchange.zone if exchange is not None else ""
-        self.versions.outcome(version.id, Outcome(request.number, dest, request.service_name, zone, now_us, failed))
+        self.versions.record_outcome(
+            version.id, CallOutcome(request.number, dest, request.service_name, zone, now_us, failed))
 
     def over(self, token: object, request: Request, now_us: int) -> None:
         """Its limits have room again."""
         if isinstance(token, _Token):
-            self.desk.over(token.passed)
+            self.evaluator.release(token.passed)
 
 
 class VersionsPart:
@@ -179,14 +180,15 @@
         zones, at = config.zones, config.settings.zone
         zone = zones[at] if 0 <= at < len(zones) else ""
         self.source = random.Random(config.seed)
-        self.versions = Versions(Rules(config.name, zone, int(settings.probation.seconds * 1e6),
-                                       settings.limits.octets, bool(settings.store.folder)), self.source)
+        self.versions = VersionManager(
+            VersionSettings(config.name, zone, int(settings.probation.seconds * 1e6), settings.limits.octets,
+                            bool(settings.store.folder)), self.source)
         self.files = VersionFiles(Path(settings.store.folder)) if settings.store.folder else None
         if self.files is not None:
             sys.setswitchinterval(SWITCH_S)
         self.client = ControlClient(settings.service.address, config.name, self.versions, context.clock, context.counts,
                                     self.source, self._store)
-        self.policy = PlanPolicy(self.versions, Desk(zone, config.settings.home, self.source))
+        self.policy = PlanPolicy(self.versions, PlanEvaluator(zone, config.settings.home, self.source))
         self.router: Router | None = None
         self._storing: Deferred[Any] = succeed(None)
         self._stopped = False
@@ -219,10 +221,10 @@
         assert self.router is not None
         now = self.router.now_us()
         document = make_document(id, plan.records(), plan.state, in_force_ms=in_force_ms)
-        self.versions.header(write_header(document.header), now)
-        self.versions.lines(list(document.lines))
-        self.versions.end(now)
-        while self.versions.work(now):
+        self.versions.receive_header(write_header(document.header), now)
+        self.versions.receive_lines(list(document.lines))
+        self.versions.receive_end(now)
+        while self.versions.run_step(now):
             pass
         self.client.execute_actions()
 
@@ -251,7 +253,7 @@
         counts.update({name: value - counts[name] for name, value in self.versions.counts.items()})
         counts["control_longest_turn_us"] = client.longest_turn_us
         counts["control_reports_waiting"] = len(client.outbox)
-        counts["control_reports_lost"] = client.outbox.lost
+        counts["control_reports_lost"] = client.outbox.dropped
         if client.swap_durations_us:
             counts["versions_swap_p99_us"] = sorted(client.swap_durations_us)[
                 int(0.99 * (len(client.swap_durations_us) - 1))]
@@ -271,24 +273,24 @@
             for zone, links in up.items():
                 if links.count(False) >= CUT_SHARE * len(links):
                     zones = self.context.config.zones
-                    self.versions.disturbed(zones[zone] if 0 <= zone < len(zones) else "")
+                    self.versions.mark_disturbed(zones[zone] if 0 <= zone < len(zones) else "")
         self.context.clock.call_at(self.context.clock.now_us() + TICK_INTERVAL_US, self._watch)
 
     # ---- the store
 
-    def _store(self, action: Keep | Point) -> None:
+    def _store(self, action: StoreVersion | SetCurrentVersion) -> None:
         """Write in a thread, one thing after the other; a disk that fails or is slow costs no call."""
         files = self.files
         if files is None:
             return
-        if isinstance(action, Keep):
-            self._in_thread("keep", lambda: files.keep(action.header, action.text))
+        if isinstance(action, StoreVersion):
+            self._in_thread("keep", lambda: files.save(action.header, action.text))
             return
         id = action.id
-        if files.long(id) and self.versions.in_force is not None and self.versions.in_force.id == id:
+        if files.chain_too_long(id) and self.versions.in_force is not None and self.versions.in_force.id == id:
             self._write_whole(id, self.versions.in_force.plan)
         else:
-            self._in_thread("point", lambda: files.point(id))
+            self._in_thread("point", lambda: files.set_current(id))
 
     def _in_thread(self, what: str, do: Callable[[], bool]) -> None:
         pool = self.context.reactor.getThreadPool()
@@ -316,8 +318,8 @@
                 self.context.reactor.callLater(0, some, records)
             elif (files := self.files) is not None:
                 header = Header(id.epoch, id.number, counted[0], counted[1], digest_of(pieces), f"{plan.state:064x}")
-                self._in_thread("keep", lambda: files.keep(header, pieces))
-                self._in_thread("point", lambda: files.point(id))
+                self._in_thread("keep", lambda: files.save(header, pieces))
+                self._in_thread("point", lambda: files.set_current(id))
 
         some(plan.records())
 
