--- a/astertrack/__init__.py
+++ b/astertrack/__init__.py
@@ -1,1 +1,1 @@
-"""A call router between two sites: SIP and WebSocket callers in front, exchanges behind, one core."""
+"""A call router between two sites: it accepts calls over SIP and WebSocket and places them at exchanges."""
--- a/astertrack/__main__.py
+++ b/astertrack/__main__.py
@@ -1,4 +1,4 @@
-"""Start a call router as the platform does: told by RELAY_*, and nothing else. `astertrack run` does the same."""
+"""The entry point that the platform starts: a call router configured by RELAY_* alone. See also `astertrack run`."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 
 
 def main(environ: Mapping[str, str] = os.environ) -> int:
-    """Run until told to stop; returns the exit code: 0, or 2 for a configuration that cannot be used."""
+    """Run a router until it is told to stop. Returns the exit code: 0, or 2 if it could not start."""
     try:
         config = read_config(environ)
         logs.configure(config.gateway.log_format, config.gateway.log_level)
         return serve(config, cast(Any, default_reactor))
-    except (ConfigError, ValueError) as wrong:
-        print(f"astertrack: {wrong}", file=sys.stderr)
-    except OSError as wrong:
-        print(f"astertrack: cannot listen: {wrong}", file=sys.stderr)
+    except (ConfigError, ValueError) as error:
+        print(f"astertrack: {error}", file=sys.stderr)
+    except OSError as error:
+        print(f"astertrack: cannot listen: {error}", file=sys.stderr)
     return 2
 
 
 def serve(config: Config, reactor: Any) -> int:
-    """Run a router on a reactor until it is told to stop. Raises ConfigError and OSError before it serves."""
+    """Run a router on a reactor until it is told to stop. Raises ConfigError and OSError if it cannot start."""
     app = App(config, reactor)
     app.start()
 
-    def on(number: signal.Signals, do: Any) -> None:
-        signal.signal(number, lambda *_: reactor.callFromThread(do))
+    def handle_signal(number: signal.Signals, callback: Any) -> None:
+        signal.signal(number, lambda *_: reactor.callFromThread(callback))
 
-    def handlers() -> None:  # after the reactor has set its own
-        on(signal.SIGTERM, app.stop)
-        on(signal.SIGINT, app.stop)
-        on(signal.SIGUSR1, app.print_counts)
-        on(signal.SIGHUP, app.reload)
+    def install_signal_handlers() -> None:  # after the reactor has installed its own
+        handle_signal(signal.SIGTERM, app.stop)
+        handle_signal(signal.SIGINT, app.stop)
+        handle_signal(signal.SIGUSR1, app.print_counts)
+        handle_signal(signal.SIGHUP, app.reload)
 
-    gc.freeze()  # what is there now stays: it need not be looked at again
-    gc.set_threshold(1_000, 20, 1_000)  # many short pauses: one of 80 ms holds every call up
-    reactor.callWhenRunning(handlers)
+    gc.freeze()  # objects that exist now live until the end: collections need not scan them
+    gc.set_threshold(1_000, 20, 1_000)  # many short pauses, since a single one of 80 ms delays every call
+    reactor.callWhenRunning(install_signal_handlers)
     reactor.run()
     app.print_counts()
     return 0
--- a/astertrack/app.py
+++ b/astertrack/app.py
@@ -1,4 +1,4 @@
-"""Puts the parts of one call router together."""
+"""Assembles a call router from its components, and controls its start, reload and stop."""
 
 from __future__ import annotations
 
@@ -25,13 +25,14 @@
 from ospreylug import interface as io
 
 log = structlog.get_logger()
-LAST_CALLERS_US = 900_000  # after SIGTERM connections and set-ups still come: 0.4 s and 0.2 s, with some room
-STANDING_US = 3_200_000  # how long the program's end waits for calls that stand; SIGKILL comes after 3.7 s
-CHECK_US = 50_000  # how often it is looked whether all calls are over
-STORE_US = 2_000_000  # how long the program's end waits for the store
+LATE_ARRIVALS_WINDOW_US = 900_000  # after SIGTERM connections arrive for 0.4 s and set-ups for 0.2 s; with a reserve
+ESTABLISHED_TIMEOUT_US = 3_200_000  # that a stop waits for established calls; the platform sends SIGKILL after 3.7 s
+STOP_CHECK_INTERVAL_US = 50_000  # of the checks whether all calls have ended
+STORE_CLOSE_TIMEOUT_US = 2_000_000
 LISTEN_BACKLOG = 512
-# Of the descriptors: callers keep a third at most, and the rest is for those who connect and say nothing.
-CALLERS_SHARE, API_SHARE = 0.625, 0.125
+# Shares of the file descriptors. Callers in use hold a third of all descriptors at most; the rest of the shares is for
+# connections that never send anything.
+SIP_DESCRIPTOR_RATIO, API_DESCRIPTOR_RATIO = 0.625, 0.125
 
 
 class App:
@@ -46,82 +47,85 @@
         self.parts = load_parts(PartContext(config, reactor, self.clock, self.counts, self.peers))
         policies = [policy for part in self.parts for policy in part.policies()]
         self.router = Router(config.settings, config.seed, self.clock, self.peers, log.info, self.store.record,
-                             self._orphaned, Gate(policies, log.warning, self.counts, bool(policies)), self.counts)
-        self.front = CallerFront(self.router, self.clock, config.classes, self.counts,
-                                 max(8, int(config.sockets * CALLERS_SHARE)))
-        self.paths = {d.name: d.path for d in config.gateway.destinations}
+                             self._release_orphan, Gate(policies, log.warning, self.counts, bool(policies)),
+                             self.counts)
+        self.sip_front = CallerFront(self.router, self.clock, config.classes, self.counts,
+                                 max(8, int(config.sockets * SIP_DESCRIPTOR_RATIO)))
+        self.destination_paths = {d.name: d.path for d in config.gateway.destinations}
         self.destinations = [Endpoint(d.address, io.Entry(d.name, d.number, d.zone))
                              for d in config.gateway.destinations]
-        self.call_front: CallFront | None = None
-        self.ports: list[Any] = []
+        self.api_front: CallFront | None = None
+        self.listeners: list[Any] = []
         self.bulletin = Bulletin(config.bulletin, config.known_last, config.zones, config.kinds, self.clock,
-                                 self.counts, lambda complete, changed: self._roster(
+                                 self.counts, lambda complete, changed: self._apply_roster(
                                      io.RosterKind.REPLACE if complete else io.RosterKind.UPDATE, changed))
-        self.stop_us: int | None = None  # when it was told to stop
+        self.stop_us: int | None = None  # when the stop was requested
 
     def _link(self, endpoint: Endpoint) -> Link:
         name, dial_us = endpoint.entry.exchange, self.config.dial_us
         link: Link
-        if name in self.paths:
+        if name in self.destination_paths:
             link = ApiLink(name, endpoint.address, self.router, self.clock, self.counts, dial_us,
-                           path=self.paths[name])
+                           path=self.destination_paths[name])
         else:
             link = PeerLink(name, endpoint.address, self.router, self.clock, self.counts, dial_us)
         link.dial()
         return link
 
-    def _orphaned(self, call: str, cause: int) -> None:
-        """A call of the process before a restart is over."""
-        self.front.release(call, cause)
+    def _release_orphan(self, call_id: str, cause: int) -> None:
+        """Release a call of the process before a restart towards its caller."""
+        self.sip_front.release(call_id, cause)
 
     def start(self) -> None:
-        """Learn the peers, listen, and follow the bulletin."""
+        """Load the known peers, start the parts, listen, and follow the bulletin."""
         config = self.config
         endpoints: dict[str, Endpoint] = {}
         for raw in config.known:
             try:
                 _, complete, changed = read_event(raw, config.zones, config.kinds)
-            except MalformedError as wrong:
-                log.warning("known event that cannot be read", error=str(wrong))
+            except MalformedError as error:
+                log.warning("known bulletin event is malformed", error=str(error))
                 continue
             if complete:
                 endpoints = {}
-            endpoints.update({e.entry.exchange: e for e in changed})
-        listed = [e for e in endpoints.values() if e.entry.readiness is not io.Readiness.GONE]
-        self._roster(io.RosterKind.RESTORED, listed)
+            endpoints.update({endpoint.entry.exchange: endpoint for endpoint in changed})
+        listed = [endpoint for endpoint in endpoints.values()
+                  if endpoint.entry.readiness is not io.Readiness.GONE]
+        self._apply_roster(io.RosterKind.RESTORED, listed)
         for part in self.parts:
             part.start(self.router)
-        self.ports.append(self.reactor.listenTCP(
-            config.port, self.front, backlog=LISTEN_BACKLOG, interface=config.host))
+        self.listeners.append(self.reactor.listenTCP(
+            config.port, self.sip_front, backlog=LISTEN_BACKLOG, interface=config.host))
         if config.gateway.front is not None:
             host, port = config.gateway.front
-            self.call_front = CallFront(self.router, self.clock, config.classes, self.counts,
-                                        config.gateway.path, max(8, int(config.sockets * API_SHARE)))
-            self.ports.append(self.reactor.listenTCP(
-                port, self.call_front, backlog=LISTEN_BACKLOG, interface=host))
+            self.api_front = CallFront(self.router, self.clock, config.classes, self.counts,
+                                       config.gateway.path, max(8, int(config.sockets * API_DESCRIPTOR_RATIO)))
+            self.listeners.append(self.reactor.listenTCP(
+                port, self.api_front, backlog=LISTEN_BACKLOG, interface=host))
         if config.bulletin:
             self.bulletin.dial()
         log.info("serving", name=config.name, host=config.host, port=config.port, peers=len(listed))
 
-    def _roster(self, kind: io.RosterKind, endpoints: list[Endpoint]) -> None:
-        if kind is not io.RosterKind.UPDATE:  # our own destinations are in every complete list
-            endpoints = [*(e for e in endpoints if e.entry.exchange not in self.paths), *self.destinations]
-        for e in endpoints:
-            log.info("peer", name=e.entry.exchange, number=e.entry.number, address=e.address,
-                     state=e.entry.readiness.value, started_us=e.entry.started_us)
-        self.peers.add(endpoints)  # first: the news may free calls, which may go to a new peer at once
-        self.router.set_roster(io.RosterChange(kind, tuple(e.entry for e in endpoints)))
+    def _apply_roster(self, kind: io.RosterKind, endpoints: list[Endpoint]) -> None:
+        if kind is not io.RosterKind.UPDATE:  # configured destinations belong to every complete list
+            endpoints = [*(endpoint for endpoint in endpoints if endpoint.entry.exchange not in self.destination_paths),
+                         *self.destinations]
+        for endpoint in endpoints:
+            log.info("peer", name=endpoint.entry.exchange, number=endpoint.entry.number, address=endpoint.address,
+                     state=endpoint.entry.readiness.value, started_us=endpoint.entry.started_us)
+        self.peers.add(endpoints)  # before set_roster, which may send queued calls to a new peer at once
+        self.router.set_roster(io.RosterChange(kind, tuple(endpoint.entry for endpoint in endpoints)))
         self.peers.update(endpoints, complete=kind is not io.RosterKind.UPDATE)
 
     def reload(self) -> None:
-        """Follow the bulletin that the configuration now names; a file that is no good changes nothing."""
+        """Reload the parts, and follow the bulletin that the configuration names now; invalid files change nothing."""
         for part in self.parts:
             part.reload()
         try:
             address = read_bulletin_address()
-        except ConfigError as wrong:
+        except ConfigError as error:
             self.counts["reloads_failed"] += 1
-            log.warning("configuration not taken over", error=str(wrong))
+            log.warning("configuration not taken over", error=str(error))
             return
         self.counts["reloads"] += 1
         log.info("configuration taken over", bulletin=address)
@@ -129,45 +133,45 @@
             self.bulletin.switch_address(address)
 
     def stop(self) -> None:
-        """Finish what is taken, and take what still comes, as the platform has it at a planned restart."""
+        """Finish accepted calls, and accept late arrivals for a while, as the platform's planned restarts require."""
         if self.stop_us is not None:
             return
         self.stop_us = self.clock.now_us()
         log.info("stopping", calls=len(self.router.calls), unanswered=self.router.count_unanswered())
-        self.clock.call_at(self.clock.now_us() + LAST_CALLERS_US, self._close)
+        self.clock.call_at(self.clock.now_us() + LATE_ARRIVALS_WINDOW_US, self._close)
 
     def _close(self) -> None:
-        for port in self.ports:
-            port.stopListening()
+        for listener in self.listeners:
+            listener.stopListening()
         for part in self.parts:
             part.stop()
         self._finish()
 
     def _finish(self) -> None:
-        # Calls that stand need no router: peers release them to the next one. Ends are passed on for a while,
-        # but not until the platform's SIGKILL, which would leave the store and the counters unwritten.
-        standing = self.router.calls and self.clock.now_us() < (self.stop_us or 0) + STANDING_US
-        if standing or self.router.count_unanswered():
-            self.clock.call_at(self.clock.now_us() + CHECK_US, self._finish)
+        # Established calls need no router: their peers release them to the next process. Releases are passed on until
+        # the timeout, but not until the platform's SIGKILL, which would leave the store and the counters unwritten.
+        waiting = self.router.calls and self.clock.now_us() < (self.stop_us or 0) + ESTABLISHED_TIMEOUT_US
+        if waiting or self.router.count_unanswered():
+            self.clock.call_at(self.clock.now_us() + STOP_CHECK_INTERVAL_US, self._finish)
         elif self.reactor.running:
-            for session in list(self.call_front.sessions) if self.call_front is not None else ():
+            for session in list(self.api_front.sessions) if self.api_front is not None else ():
                 session.close_going_away()
-            for connection in list(self.front.connections):
+            for connection in list(self.sip_front.connections):
                 connection.close()
-            self.clock.call_at(self.clock.now_us() + STORE_US, self._abandon_store)
+            self.clock.call_at(self.clock.now_us() + STORE_CLOSE_TIMEOUT_US, self._abandon_store)
             self.store.close().addCallback(
-                lambda _: self.clock.call_at(self.clock.now_us() + CHECK_US, self.reactor.stop))
+                lambda _: self.clock.call_at(self.clock.now_us() + STOP_CHECK_INTERVAL_US, self.reactor.stop))
 
     def _abandon_store(self) -> None:
-        """Guards the end against a store that hangs: its thread cannot be stopped."""
-        log.warning("the store did not finish in time")
+        """Exit although the store hangs: its thread cannot be stopped."""
+        log.warning("store did not close in time; exiting without it")
         self.print_counts()
         os._exit(0)
 
     def print_counts(self) -> None:
-        """Print the counters, one line."""
+        """Print the counters on one line of standard error."""
         self.counts["store_waiting"] = self.store.pending_count()
         for part in self.parts:
             part.update_counters()
-        figures = " ".join(f"{name}={self.counts[name]}" for name in sorted(self.counts))
-        print(f"counters calls_in_hand={len(self.router.calls)} {figures}", file=sys.stderr, flush=True)
+        counters = " ".join(f"{name}={self.counts[name]}" for name in sorted(self.counts))
+        print(f"counters calls_in_hand={len(self.router.calls)} {counters}", file=sys.stderr, flush=True)
--- a/astertrack/checking.py
+++ b/astertrack/checking.py
@@ -1,9 +1,9 @@
-"""What the checker of our files and wires says, in two parts: the path to the field, and what was expected there."""
+"""Helpers for the validation errors of configuration files and messages."""
 
 from __future__ import annotations
 
 
-def split_validation_error(wrong: Exception) -> tuple[str, str]:
-    """Split an error of msgspec into what was expected and the path to the field, empty for the whole."""
-    expected, _, path = str(wrong).partition(" - at `$")
+def split_validation_error(error: Exception) -> tuple[str, str]:
+    """Split a msgspec error into what was expected and the path to the field; the path of the root is empty."""
+    expected, _, path = str(error).partition(" - at `$")
     return expected[:1].lower() + expected[1:], path.rstrip("`").lstrip(".")
--- a/astertrack/config.py
+++ b/astertrack/config.py
@@ -1,4 +1,4 @@
-"""What a call router is told at its start: RELAY_* and the JSON that RELAY_CONFIG names."""
+"""The configuration of a call router: RELAY_*, the JSON file that RELAY_CONFIG names, and the gateway file."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from ospreylug import interface as io
 from ospreylug.wirehost import WireError, read_settings
 
-# Tables of our own file and their fields: an unknown one is a slip of the pen, and is said.
+# Tables of the gateway file and their fields. Unknown names are rejected, as they are probably typing errors.
 GATEWAY_FIELDS = {"front": {"listen", "path"}, "store": {"kind", "database"}, "log": {"format", "level"},
                   "destination": {"name", "address", "path", "number", "zone"}}
 DEFAULT_GATEWAY_FILE = Path(__file__).resolve().parent.parent / "deploy" / "gateway.toml"
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says why, in one line."""
+    """The configuration cannot be used; the message gives the reason in one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Destination:
-    """A server that speaks the call-control API."""
+    """A destination server that speaks the call-control API."""
 
     name: str
     address: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
-    """What our own file says; all off by default."""
+    """The contents of the gateway file; by default everything is off."""
 
     front: tuple[str, int] | None = None
     path: str = "/calls"
@@ -50,47 +50,47 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """A call router's configuration, read once."""
+    """The configuration of a call router, read at its start."""
 
     name: str
     host: str
     port: int
     seed: int
     settings: io.Settings
-    classes: dict[str, int]  # a class's position, by its name
+    classes: dict[str, int]  # index of a class by its name
     zones: list[str]
     kinds: list[str]
     dial_us: int
     bulletin: str
     known_last: int
-    known: list[Any]  # the bulletin's events so far
-    sockets: int  # descriptors that the process may hold
+    known: list[Any]  # events of the bulletin up to the start
+    sockets: int  # limit of file descriptors of the process
     gateway: Gateway = field(default_factory=Gateway)
 
 
 def split_address(address: object, name: str) -> tuple[str, int]:
-    """Read host:port."""
+    """Split host:port; a ConfigError names the setting `name`."""
     host, _, port = address.rpartition(":") if isinstance(address, str) else ("", "", "")
     if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
-        raise ConfigError(f"{name}: not host:port: {address!r}")
+        raise ConfigError(f"{name}: expected host:port, got {address!r}")
     return host.strip("[]"), int(port)
 
 
 def read_gateway(path: Path, zones: list[str]) -> Gateway:
-    """Read our own file, or raise a ConfigError; without one, everything is off."""
+    """Read the gateway file; if there is none, everything is off. Raises ConfigError."""
     try:
         raw = tomllib.loads(path.read_text("utf-8"))
     except FileNotFoundError:
         return Gateway()
-    except (OSError, ValueError) as wrong:
-        raise ConfigError(f"{path.name}: {wrong}") from None
-    for table, held in raw.items():
-        for item in held if isinstance(held, list) else [held]:
+    except (OSError, ValueError) as error:
+        raise ConfigError(f"{path.name}: {error}") from None
+    for table, content in raw.items():
+        for item in content if isinstance(content, list) else [content]:
             unknown = ({table} - set(GATEWAY_FIELDS)) or (
                 set(item) - GATEWAY_FIELDS[table] if isinstance(item, dict) else set())
             if unknown:
                 known = GATEWAY_FIELDS.get(table, GATEWAY_FIELDS)
-                raise ConfigError(f"{path.name}: {table}: {sorted(unknown)[0]}: not known; known are "
+                raise ConfigError(f"{path.name}: {table}: unknown name {sorted(unknown)[0]}; expected one of "
                                   f"{', '.join(sorted(known))}")
     try:
         front, store = raw.get("front", {}), raw.get("store", {})
@@ -111,8 +111,8 @@
         return Gateway(split_address(listen, f"{path.name}: front.listen") if listen else None,
                        str(front.get("path", "/calls")), kind, str(store.get("database", "")),
                        tuple(destinations), str(log.get("format", "logfmt")), str(log.get("level", "info")))
-    except (KeyError, TypeError, ValueError, AttributeError) as wrong:
-        raise ConfigError(f"{path.name}: {wrong!r}") from None
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise ConfigError(f"{path.name}: {error!r}") from None
 
 
 def _read_file(environ: Mapping[str, str]) -> tuple[str, dict[str, Any]]:
@@ -121,65 +121,65 @@
         raise ConfigError("RELAY_CONFIG is not set")
     try:
         raw = json.loads(Path(path).read_text("utf-8"))
-    except OSError as wrong:
-        raise ConfigError(f"RELAY_CONFIG: cannot read {path}: {wrong.strerror}") from None
+    except OSError as error:
+        raise ConfigError(f"RELAY_CONFIG: cannot read {path}: {error.strerror}") from None
     except (ValueError, RecursionError):
-        raise ConfigError(f"RELAY_CONFIG: {path} is not JSON") from None
+        raise ConfigError(f"RELAY_CONFIG: {path} is not valid JSON") from None
     if not isinstance(raw, dict):
-        raise ConfigError(f"RELAY_CONFIG: {path} holds no object")
+        raise ConfigError(f"RELAY_CONFIG: {path} does not contain a JSON object")
     return path, raw
 
 
-def _sockets(limits: object) -> int:
-    """Read how many descriptors there are: what is told, but no more than the system gives."""
-    given, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    told = limits.get("sockets") if isinstance(limits, dict) else None
-    return min(int(told), given) if told else given
+def _read_descriptor_limit(limits: object) -> int:
+    """Return the limit of file descriptors: the configured one, but at most that of the system."""
+    system_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    configured = limits.get("sockets") if isinstance(limits, dict) else None
+    return min(int(configured), system_limit) if configured else system_limit
 
 
 def read_bulletin_address(environ: Mapping[str, str] = os.environ) -> str:
-    """Read the bulletin's address anew, or raise a ConfigError: all that a running router takes over.
+    """Read the bulletin's address again, the only setting that a running router reloads. Raises ConfigError.
 
-    Empty: the configuration is a file of our own that names no bulletin.
+    Empty if the configuration is a router file (TOML) that names no bulletin.
     """
     if environ.get("RELAY_CONFIG", "").endswith(".toml"):
-        from astertrack.routerfile import read_router_file  # noqa: PLC0415  # not on the platform
+        from astertrack.routerfile import read_router_file  # noqa: PLC0415  # not used on the platform
 
         return read_router_file(Path(environ["RELAY_CONFIG"])).router.bulletin
     _, raw = _read_file(environ)
     address = raw.get("bulletin")
     _, port = split_address(address, "bulletin")
     if not port:
-        raise ConfigError(f"bulletin: no port: {address!r}")
+        raise ConfigError(f"bulletin: a port above 0 is required, got {address!r}")
     return str(address)
 
 
 def read_config(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration, or raise a ConfigError."""
+    """Read the configuration that RELAY_CONFIG names. Raises ConfigError."""
     path, raw = _read_file(environ)
     if not isinstance(raw.get("settings"), dict):
-        raise ConfigError(f"RELAY_CONFIG: {path} holds no object with settings")
-    env = raw["settings"]
+        raise ConfigError(f"RELAY_CONFIG: {path} has no object 'settings'")
+    raw_settings = raw["settings"]
     try:
-        settings = read_settings(env)
+        settings = read_settings(raw_settings)
         seed = int(str(raw.get("seed") or "0"), 16)
         known = raw.get("known") or {"no": 0, "items": []}
-        limits = env.get("limits") or {}
-        classes = {str(service["name"]): at for at, service in enumerate(env["services"])}
+        limits = raw_settings.get("limits") or {}
+        classes = {str(service["name"]): index for index, service in enumerate(raw_settings["services"])}
         host, port = split_address(environ.get("RELAY_LISTEN") or raw.get("listen"), "RELAY_LISTEN")
         bulletin = str(raw.get("bulletin") or "")
         if bulletin:
             split_address(bulletin, "bulletin")
         return Config(
             name=environ.get("RELAY_NAME") or str(raw.get("name") or ""), host=host, port=port, seed=seed,
-            settings=settings, classes=classes, zones=[str(zone) for zone in env.get("areas") or ()],
-            kinds=[str(kind) for kind in env.get("kinds") or ()],
+            settings=settings, classes=classes, zones=[str(zone) for zone in raw_settings.get("areas") or ()],
+            kinds=[str(kind) for kind in raw_settings.get("kinds") or ()],
             dial_us=int(limits.get("dialTimeoutUs") or 500_000), bulletin=bulletin,
             known_last=int(known["no"]), known=list(known["items"]),
-            sockets=_sockets(raw.get("limits")),
+            sockets=_read_descriptor_limit(raw.get("limits")),
             gateway=read_gateway(Path(environ.get("ASTERTRACK_GATEWAY") or DEFAULT_GATEWAY_FILE),
-                                 [str(zone) for zone in env.get("areas") or ()]))
-    except WireError as wrong:
-        raise ConfigError(f"settings: {wrong}") from None
-    except (KeyError, TypeError, ValueError, AttributeError) as wrong:
-        raise ConfigError(f"RELAY_CONFIG: {path}: {wrong!r}") from None
+                                 [str(zone) for zone in raw_settings.get("areas") or ()]))
+    except WireError as error:
+        raise ConfigError(f"settings: {error}") from None
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise ConfigError(f"RELAY_CONFIG: {path}: {error!r}") from None
--- a/astertrack/logs.py
+++ b/astertrack/logs.py
@@ -1,4 +1,4 @@
-"""The program's log: structlog on standard error, in one of three formats, from a level up."""
+"""Logging: structlog on standard error, in one of three formats, from a minimum level up."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 LEVELS = ("debug", "info", "warning", "error")
 
 
-def configure(form: str = "logfmt", level: str = "info") -> None:
-    """Set the log up; raises ValueError for a format or level that there is not."""
-    if form not in FORMATS:
-        raise ValueError(f"no such log format: {form!r}; there are {', '.join(FORMATS)}")
+def configure(log_format: str = "logfmt", level: str = "info") -> None:
+    """Configure logging. Raises ValueError if the format or the level is unknown."""
+    if log_format not in FORMATS:
+        raise ValueError(f"unknown log format {log_format!r}; expected one of {', '.join(FORMATS)}")
     if level not in LEVELS:
-        raise ValueError(f"no such log level: {level!r}; there are {', '.join(LEVELS)}")
+        raise ValueError(f"unknown log level {level!r}; expected one of {', '.join(LEVELS)}")
     renderer: Any
-    if form == "json":
+    if log_format == "json":
         renderer = structlog.processors.JSONRenderer(sort_keys=False)
-    elif form == "console":
+    elif log_format == "console":
         renderer = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     else:
         renderer = structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"])
--- a/astertrack/parts/model.py
+++ b/astertrack/parts/model.py
@@ -1,4 +1,4 @@
-"""What a part is, and what it is given. The parts are listed in astertrack.parts."""
+"""The interface of the parts of a router, which astertrack.parts lists."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartContext:
-    """What every part is made with."""
+    """The objects of the router that every part gets when it is created."""
 
     config: Config
     reactor: Any
@@ -25,19 +25,19 @@
 
 
 class Part(Protocol):
-    """One subsystem of a router."""
+    """One optional subsystem of a router."""
 
     def policies(self) -> Sequence[Policy]:
-        """Return its entries for the gate, in order."""
+        """Return its admission policies for the gate, in order."""
 
     def start(self, router: Router) -> None:
-        """Begin, once the router can take calls. Raises ConfigError where it cannot."""
+        """Start the part, once the router can accept calls. Raises ConfigError if it cannot start."""
 
     def reload(self) -> None:
-        """Read what it was configured with again; what cannot be used changes nothing."""
+        """Read the settings again; invalid ones change nothing."""
 
     def stop(self) -> None:
-        """Begin nothing more."""
+        """Start no further work."""
 
     def update_counters(self) -> None:
-        """Bring the counters up to date."""
+        """Update the counters that are computed on request."""
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -55,8 +55,8 @@
     ("versions.toml", '[service]\nadress = "x"\n', ["service", "adress"]),
     ("versions.toml", '[service]\naddress = "nowhere"\n', ["service.address", "host:port"]),
     ("versions.toml", "[probation]\nseconds = -1\n", ["probation.seconds"]),
-    ("gateway.toml", '[front]\nlisten = "127.0.0.1:1"\nport = 3\n', ["front", "port", "not known"]),
-    ("gateway.toml", "[fornt]\n", ["fornt", "not known"]),
+    ("gateway.toml", '[front]\nlisten = "127.0.0.1:1"\nport = 3\n', ["front", "unknown name port"]),
+    ("gateway.toml", "[fornt]\n", ["fornt: unknown name fornt"]),
     ("router.toml", '[router]\nname = "a"\nexchange = 0\n', ["router", "listen"]),
     ("router.toml", '[router]\nname = "a"\nexchange = 0\nlisten = "x:1"\n[[class]]\nname = "c"\naim_ms = 5\n'
                     "deadline_ms = 4\n", ["class[0].deadline_ms"]),
