--- a/astertrack/cli/__init__.py
+++ b/astertrack/cli/__init__.py
@@ -1,4 +1,4 @@
-"""Commands. Each file holds one group; they parse, call and print, and decide nothing."""
+"""The command line. Each module holds one group of commands, which parse arguments, call the library and print."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Commands(click.Group):
-    """Loads a group's module when it is asked for: a command does not wait for what it does not use."""
+    """Imports the module of a group on first use, so that no command waits for modules that it does not need."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of the groups."""
         return list(GROUPS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return a group, or the command of that name."""
+        """Return the group or the command of that name, or None."""
         if cmd_name not in GROUPS:
             return None
         command: click.Command = import_module(GROUPS[cmd_name]).command
@@ -30,6 +30,6 @@
 def main() -> None:
     """astertrack: a call router that places calls between exchanges at two sites.
 
-    Exit codes of every command: 0, it went well; 1, the answer is no (a file is not sound, two differ, nothing was
-    found); 2, the command could not be carried out.
+    Exit codes of every command: 0, success; 1, a negative result (a file is invalid, two files differ, a call is
+    refused); 2, the command could not be carried out.
     """
--- a/astertrack/cli/plan.py
+++ b/astertrack/cli/plan.py
@@ -10,7 +10,16 @@
 import click
 import msgspec
 
-from astertrack.cli.common import AS_JSON, FILE, FINE, NO, end, fail, plainly, say
+from astertrack.cli.common import (
+    EXIT_NEGATIVE,
+    EXIT_OK,
+    FILE_PATH,
+    JSON_OPTION,
+    exit_with,
+    fail,
+    print_result,
+    report_errors,
+)
 from astertrack.parts.versions import read_plan_file
 from astertrack.plan import RouteQuery
 from astertrack.plan.compiled import DIGITS
@@ -24,9 +33,9 @@
 
 
 @command.command("compile")
-@click.argument("file", type=FILE)
-@AS_JSON
-@plainly
+@click.argument("file", type=FILE_PATH)
+@JSON_OPTION
+@report_errors
 def compile_command(file: Path, as_json: bool) -> None:
     """Make the plan of a file as a router does, and tell its size, digest, time and memory."""
     began = time.perf_counter()
@@ -40,19 +49,19 @@
     values = {"version": str(id), "records": plan.size, "prefixes": len(plan.prefixes), "state": f"{plan.state:064x}",
               "took_ms": round(took_ms, 1), "memory_kib": memory // 1024,
               "kinds": {kind: len(records) for kind, records in plan.records_by_kind.items()}}
-    say(values, as_json, "\n".join(f"{name:10} {value}" for name, value in values.items()))
+    print_result(values, as_json, "\n".join(f"{name:10} {value}" for name, value in values.items()))
 
 
 @command.command("lookup")
-@click.argument("file", type=FILE)
+@click.argument("file", type=FILE_PATH)
 @click.argument("number")
 @click.option("--dest", type=int, default=-1, help="The destination that the caller gives; -1: none.")
 @click.option("--class", "service", default=ANY, help="The class of the call.")
 @click.option("--zone", default=ANY, help="The zone of the router.")
-@AS_JSON
-@plainly
+@JSON_OPTION
+@report_errors
 def lookup(file: Path, number: str, dest: int, service: str, zone: str, as_json: bool) -> None:
-    """Tell where a call to NUMBER goes by the plan in FILE. Exit code 1: it is turned away."""
+    """Tell where a call to NUMBER goes by the plan in FILE_PATH. Exit code 1: it is turned away."""
     if number.strip(DIGITS) or not number:
         fail(f"{number!r} is no number: digits 0-9 and letters a-f are")
     _, plan, _ = read_plan_file(file)
@@ -67,8 +76,8 @@
             values["prefix"] = hit[1].key()
     if not isinstance(found, int):
         values |= {"turned_away": found[0], "wait_ms": found[2]}
-        say(values, as_json, f"{number}: turned away: {found[0]} {found[1]}".rstrip())
-        end(NO)
+        print_result(values, as_json, f"{number}: turned away: {found[0]} {found[1]}".rstrip())
+        exit_with(EXIT_NEGATIVE)
     route = plan.route(found, service, zone)
     tiers = [sorted(tier) if tier is not None else ["any"] for tier in route.tiers]
     limits = [limit.name for limit in plan.records_of("limit").values() if limit_applies(limit, asked, found)]
@@ -81,5 +90,5 @@
         text.append("never over " + ", ".join(map(str, sorted(route.never))))
     if limits:
         text.append("limits: " + ", ".join(limits))
-    say(values, as_json, "\n".join(text))
-    end(FINE)
+    print_result(values, as_json, "\n".join(text))
+    exit_with(EXIT_OK)
--- a/astertrack/routerfile.py
+++ b/astertrack/routerfile.py
@@ -23,7 +23,7 @@
 
 
 class RouterTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[router]`: this router."""
+    """The router itself: its name, addresses, exchange and limits."""
 
     name: Name
     listen: str  # host:port for SIP callers
@@ -36,7 +36,7 @@
 
 
 class ClassTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[[class]]`: a class of calls."""
+    """A class of calls: its times, worth, duration and width."""
 
     name: Name
     aim_ms: Milliseconds  # a call that is answered within this time earns its full worth
@@ -48,7 +48,7 @@
 
 
 class PeerTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[[peer]]`: another exchange."""
+    """A peer: another exchange that calls are sent to."""
 
     name: Name
     address: str
@@ -58,7 +58,7 @@
 
 
 class RulesTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[rules]`: limits of attempts and waits; the defaults are the operators' values."""
+    """Rules for attempts, waits and slow start; the defaults are the operators' values."""
 
     max_attempts: Annotated[int, msgspec.Meta(ge=1, le=6)] = 6
     release_ms: Annotated[float, msgspec.Meta(ge=300)] = 300.0  # before a new attempt, after a timeout, reset or cancel
