--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The same verdict every time: hypothesis draws the same examples, and no example is timed."""
+"""Makes property tests reproducible: hypothesis draws the same examples every time and does not time them."""
 
 from hypothesis import settings
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, as a person or a program calls it."""
+"""The command line, called in process and as a program."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 PLAN = str(DEPLOY / "example-plan.toml")
 
 
-def call(*words: str, code: int = 0) -> Result:
-    """Call a command, and check its exit code."""
-    result = CliRunner().invoke(main, list(words))
+def run_command(*arguments: str, code: int = 0) -> Result:
+    """Invoke a command in process, and check its exit code."""
+    result = CliRunner().invoke(main, list(arguments))
     assert result.exit_code == code, result.output
     return result
 
 
-def test_every_command_has_help_worth_reading() -> None:
-    for words in ((), ("run",), ("config",), ("config", "check"), ("config", "show"), ("config", "diff"),
+def test_every_command_has_a_help_text() -> None:
+    for arguments in ((), ("run",), ("config",), ("config", "check"), ("config", "show"), ("config", "diff"),
                   ("config", "explain"), ("plan", "compile"), ("plan", "lookup"), ("versions", "serve"),
                   ("versions", "status")):
-        text = call(*words, "--help").output
+        text = run_command(*arguments, "--help").output
         assert len(text.splitlines()) > 5
 
 
-def test_all_files_under_deploy_are_sound() -> None:
+def test_all_files_under_deploy_are_valid() -> None:
     files = [str(path) for path in sorted(DEPLOY.glob("*.toml")) if path.name != "balancer.toml"]
-    results = json.loads(call("config", "check", *files, "--json").stdout)
+    results = json.loads(run_command("config", "check", *files, "--json").stdout)
     kinds = {Path(r["file"]).name: r["kind"] for r in results}
     assert kinds["example.toml"] == "router"
     assert kinds["gateway.toml"] == kinds["example-gateway.toml"] == "gateway"
@@ -62,51 +62,51 @@
                     "deadline_ms = 4\n", ["class[0].deadline_ms"]),
     ("router.toml", '[router]\nname = "a"\nexchange = 0\nlisten = "x:1"\n[[class]]\nname = "c"\naim_ms = 5\n'
                     'deadline_ms = 9\n[[peer]]\nname = "p"\naddress = "h:1"\nexchange = 0\n', ["peer[0].exchange"])])
-def test_an_unsound_file_is_told_with_its_field_and_what_was_expected(tmp_path: Path, name: str, text: str,
-                                                                      parts: list[str]) -> None:
+def test_an_invalid_file_is_reported_with_its_field_and_what_was_expected(tmp_path: Path, name: str, text: str,
+                                                                          parts: list[str]) -> None:
     path = tmp_path / name
     path.write_text(text)
-    output = call("config", "check", str(path), code=1).stdout
+    output = run_command("config", "check", str(path), code=1).stdout
     assert str(path) in output or name in output
     for part in parts:
         assert part in output
-    result = json.loads(call("config", "check", "--json", str(path), code=1).stdout)
+    result = json.loads(run_command("config", "check", "--json", str(path), code=1).stdout)
     assert not result[0]["sound"]
-    call("config", "check", str(tmp_path / "nowhere"), code=2)
+    run_command("config", "check", str(tmp_path / "nowhere"), code=2)
 
 
-def test_a_plan_is_compiled_and_asked() -> None:
-    told = json.loads(call("plan", "compile", "--json", PLAN).stdout)
-    assert (told["version"], told["records"]) == ("1.1", 10)
-    asked = json.loads(call("plan", "lookup", PLAN, "535801", "--class", "declaration-save", "--json").stdout)
-    assert (asked["exchange"], asked["prefix"], asked["ways"]) == (3, "53580", [[3], [2]])
-    assert asked["limits"] == ["saves to fes-2"]
-    barred = json.loads(call("plan", "lookup", PLAN, "09001", "--json", code=1).stdout)
+def test_a_plan_is_compiled_and_looked_up() -> None:
+    compiled = json.loads(run_command("plan", "compile", "--json", PLAN).stdout)
+    assert (compiled["version"], compiled["records"]) == ("1.1", 10)
+    route = json.loads(run_command("plan", "lookup", PLAN, "535801", "--class", "declaration-save", "--json").stdout)
+    assert (route["exchange"], route["prefix"], route["ways"]) == (3, "53580", [[3], [2]])
+    assert route["limits"] == ["saves to fes-2"]
+    barred = json.loads(run_command("plan", "lookup", PLAN, "09001", "--json", code=1).stdout)
     assert (barred["turned_away"], barred["wait_ms"]) == ("barred", 60000)
-    assert json.loads(call("plan", "lookup", PLAN, "1", "--dest", "2", "--json").stdout)["exchange"] == 2
-    call("plan", "lookup", PLAN, "1", code=1)
-    call("plan", "lookup", PLAN, "x", code=2)
-    call("plan", "compile", "/nowhere", code=2)
+    assert json.loads(run_command("plan", "lookup", PLAN, "1", "--dest", "2", "--json").stdout)["exchange"] == 2
+    run_command("plan", "lookup", PLAN, "1", code=1)
+    run_command("plan", "lookup", PLAN, "x", code=2)
+    run_command("plan", "compile", "/nowhere", code=2)
 
 
-def test_files_are_shown_compared_and_explained(tmp_path: Path) -> None:
-    shown = json.loads(call("config", "show", "--json", str(DEPLOY / "example.toml")).stdout)
+def test_files_are_shown_compared_and_described(tmp_path: Path) -> None:
+    shown = json.loads(run_command("config", "show", "--json", str(DEPLOY / "example.toml")).stdout)
     assert shown["settings"]["max_attempts"] == 6
-    assert "plan.file" in call("config", "show", str(DEPLOY / "example-versions.toml")).stdout
+    assert "plan.file" in run_command("config", "show", str(DEPLOY / "example-versions.toml")).stdout
     changed = tmp_path / "plan.toml"
     changed.write_text((DEPLOY / "example-plan.toml").read_text().replace('digits = "522"', 'digits = "523"'))
-    lines = json.loads(call("config", "diff", "--json", PLAN, str(changed), code=1).stdout)
-    assert lines == [{"kind": "drop", "of": "prefix", "key": "522"}, {"kind": "prefix", "digits": "523", "exchange": 1}]
-    call("config", "diff", PLAN, PLAN)
-    call("config", "diff", str(DEPLOY / "versions.toml"), str(DEPLOY / "example-versions.toml"), code=1)
-    call("config", "diff", PLAN, str(DEPLOY / "example.toml"), code=2)
-    assert "barred" in call("config", "explain").stdout
-    assert "at least 0" in call("config", "explain", "prefix.exchange").stdout
-    call("config", "explain", "whim", code=2)
-    call("config", "explain", "prefix.whim", code=2)
-
-
-def test_a_folder_publishes_what_is_newer_and_says_what_is_wrong(tmp_path: Path) -> None:
+    delta = json.loads(run_command("config", "diff", "--json", PLAN, str(changed), code=1).stdout)
+    assert delta == [{"kind": "drop", "of": "prefix", "key": "522"}, {"kind": "prefix", "digits": "523", "exchange": 1}]
+    run_command("config", "diff", PLAN, PLAN)
+    run_command("config", "diff", str(DEPLOY / "versions.toml"), str(DEPLOY / "example-versions.toml"), code=1)
+    run_command("config", "diff", PLAN, str(DEPLOY / "example.toml"), code=2)
+    assert "barred" in run_command("config", "explain").stdout
+    assert "at least 0" in run_command("config", "explain", "prefix.exchange").stdout
+    run_command("config", "explain", "whim", code=2)
+    run_command("config", "explain", "prefix.whim", code=2)
+
+
+def test_a_plan_folder_publishes_newer_versions_and_reports_invalid_files(tmp_path: Path) -> None:
     from astertrack.cli.versions import PlanFolder  # noqa: PLC0415
 
     published: list[str] = []
@@ -127,19 +127,19 @@
     assert published == ["1.1", "1.2", "1.3"]
 
 
-def astertrack(*words: str, **more: Any) -> list[str]:
-    """The words of a command, started as a program."""
-    return [sys.executable, "-c", "from astertrack.cli import main; main()", *words]
+def command_line(*arguments: str, **more: Any) -> list[str]:
+    """The command line that starts astertrack as a program with these arguments."""
+    return [sys.executable, "-c", "from astertrack.cli import main; main()", *arguments]
 
 
-def test_a_router_follows_a_folder_and_status_tells_how_it_stands(tmp_path: Path) -> None:
-    async def work() -> None:
+def test_a_router_follows_a_plan_folder_and_status_shows_its_versions(tmp_path: Path) -> None:
+    async def run_test() -> None:
         port, folder = free_port(), tmp_path / "versions"
         folder.mkdir()
         text = "[version]\nnumber = {}\n[[exchange]]\nnumber = 1\n[[prefix]]\ndigits = \"{}\"\nexchange = {}\n"
         (folder / "1.toml").write_text(text.format(1, 5, 1))
         service = await asyncio.create_subprocess_exec(
-            *astertrack("versions", "serve", str(folder), "--listen", f"127.0.0.1:{port}", "--log-format", "json"),
+            *command_line("versions", "serve", str(folder), "--listen", f"127.0.0.1:{port}", "--log-format", "json"),
             cwd=ROOT, stderr=(tmp_path / "log").open("w"))
         node = await BinaryNode().start()
         try:
@@ -152,45 +152,45 @@
                 (folder / "3.toml").write_text(text.format(3, 6, 9))
                 await until(lambda: "unknown-exchange" in (tmp_path / "log").read_text())
                 await until(lambda: '"stand": "settled"' in (tmp_path / "log").read_text())
-                done = await asyncio.to_thread(subprocess.run, astertrack(
+                result = await asyncio.to_thread(subprocess.run, command_line(
                     "versions", "status", "--service", f"127.0.0.1:{port}", "--json"), cwd=ROOT, capture_output=True,
                     text=True, check=False, timeout=20)
-                rows = {row["number"]: row["stand"] for row in json.loads(done.stdout)}
+                rows = {row["number"]: row["stand"] for row in json.loads(result.stdout)}
                 assert rows[2] == "settled"
                 assert rows[1] == "superseded"
-                assert done.returncode == 0
+                assert result.returncode == 0
                 assert all(json.loads(line)["event"] for line in (tmp_path / "log").read_text().splitlines())
         finally:
             service.terminate()
             await service.wait()
-        done = await asyncio.to_thread(subprocess.run, astertrack("versions", "status", "--service",
-                                                                  f"127.0.0.1:{port}"),
-                                       cwd=ROOT, capture_output=True, text=True, check=False, timeout=20)
-        assert done.returncode == 2
-        assert "no answer" in done.stderr
-    asyncio.run(work())
+        result = await asyncio.to_thread(subprocess.run, command_line("versions", "status", "--service",
+                                                                      f"127.0.0.1:{port}"),
+                                         cwd=ROOT, capture_output=True, text=True, check=False, timeout=20)
+        assert result.returncode == 2
+        assert "no answer" in result.stderr
+    asyncio.run(run_test())
 
 
-def test_the_first_look_shows_a_call_of_each_front_answered() -> None:
-    done = subprocess.run([sys.executable, "-m", "laboratory.demo", "--once", "--free-ports"], cwd=ROOT, check=False,
+def test_the_demo_shows_an_answered_call_of_each_front() -> None:
+    result = subprocess.run([sys.executable, "-m", "laboratory.demo", "--once", "--free-ports"], cwd=ROOT, check=False,
                           capture_output=True, text=True, timeout=60, env=dict(os.environ))
-    assert done.returncode == 0, done.stderr
-    assert "INVITE to 5221234 -> 200" in done.stdout
-    assert "'type': 'answer'" in done.stdout
+    assert result.returncode == 0, result.stderr
+    assert "INVITE to 5221234 -> 200" in result.stdout
+    assert "'type': 'answer'" in result.stdout
 
 
-def test_run_says_what_is_wrong_in_one_line(tmp_path: Path) -> None:
-    bad = tmp_path / "router.toml"
-    bad.write_text("[router]\n")
-    for words in (("run", "--config", str(bad)), ("run", "--config", str(tmp_path / "none.json"))):
-        done = subprocess.run(astertrack(*words), cwd=ROOT, capture_output=True, text=True, check=False, timeout=30,
-                              env={**os.environ, "ASTERTRACK_GATEWAY": str(tmp_path / "none")})
-        assert done.returncode == 2
-        assert done.stderr.startswith("astertrack: ")
-        assert done.stderr.count("\n") == 1
+def test_run_reports_an_invalid_configuration_in_one_line(tmp_path: Path) -> None:
+    invalid_file = tmp_path / "router.toml"
+    invalid_file.write_text("[router]\n")
+    for arguments in (("run", "--config", str(invalid_file)), ("run", "--config", str(tmp_path / "none.json"))):
+        result = subprocess.run(command_line(*arguments), cwd=ROOT, capture_output=True, text=True, check=False,
+                                timeout=30, env={**os.environ, "ASTERTRACK_GATEWAY": str(tmp_path / "none")})
+        assert result.returncode == 2
+        assert result.stderr.startswith("astertrack: ")
+        assert result.stderr.count("\n") == 1
 
 
-def test_a_router_file_gives_the_platforms_rules_by_default() -> None:
+def test_the_defaults_of_a_router_file_are_the_platforms_rules() -> None:
     from astertrack.cli.run import load  # noqa: PLC0415
 
     config = load(DEPLOY / "example.toml")
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -81,8 +81,8 @@
 
 
 def test_the_first_refusal_decides_and_earlier_policies_are_notified_of_the_end() -> None:
-    first = scripted_policy(Approval(), name="first")
-    second = scripted_policy(Approval(), Refusal("why", 5), name="second")
+    first, second = (scripted_policy(Approval(), name="first"),
+                     scripted_policy(Approval(), Refusal("why", 5), name="second"))
     third = scripted_policy(Approval(), name="third")
     harness = RouterHarness((first, second, third))
     harness.offer("a")
@@ -109,8 +109,8 @@
 
 
 def test_a_constrained_call_uses_the_first_tier_with_free_circuits_and_no_other_exchange() -> None:
-    constraint = RouteConstraint((frozenset({3}), frozenset({2})), frozenset({1}))
-    harness = RouterHarness((scripted_policy(Approval(constraint=constraint)),))
+    harness = RouterHarness((scripted_policy(
+        Approval(constraint=RouteConstraint((frozenset({3}), frozenset({2})), frozenset({1})))),))
     harness.offer("a", dest=1)
     assert harness.set_ups == [("x3", "a")]
     harness.peer_ends("a", io.Outcome.TURNED_AWAY, io.Cause.CRANKBACK)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started in service, between stand-ins, over sockets."""
+"""The program as the platform starts it, between simulated callers and nodes, over sockets."""
 
 from __future__ import annotations
 
@@ -9,74 +9,74 @@
 
 from laboratory.stand_ins import ApiCaller, ApiNode, BinaryNode, Node, SipCaller, program, until
 
-IDS = itertools.count(1)
-WORDS = ("good", "full", "fault", "busy", "reset", "cut", "silent")
+CALL_NUMBERS = itertools.count(1)
+BEHAVIOURS = ("good", "full", "fault", "busy", "reset", "cut", "silent")
 
 
-def fresh() -> str:
-    """An id that no call has had."""
-    return f"{next(IDS):016x}"
+def new_call_id() -> str:
+    """An id that no earlier call has used."""
+    return f"{next(CALL_NUMBERS):016x}"
 
 
-def run(work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test's body."""
-    asyncio.run(work())
+def run(run_test: Callable[[], Coroutine[Any, Any, None]]) -> None:
+    """Run the body of a test."""
+    asyncio.run(run_test())
 
 
 def test_mixed_callers_get_one_final_answer_each_and_attempts_never_overlap() -> None:
-    async def work() -> None:
+    async def run_test() -> None:
         nodes: dict[int, Node] = {n: await BinaryNode().start() for n in (1, 2)}
-        api: dict[int, Node] = {3: await ApiNode().start()}
-        async with program(nodes, api) as router:
-            sips = [await SipCaller.connect(router.port) for _ in range(2)]
-            apis = [await ApiCaller.connect(router.api_port) for _ in range(2)]
+        api_nodes: dict[int, Node] = {3: await ApiNode().start()}
+        async with program(nodes, api_nodes) as router:
+            sip_callers = [await SipCaller.connect(router.port) for _ in range(2)]
+            api_callers = [await ApiCaller.connect(router.api_port) for _ in range(2)]
             by_sip, by_api = {}, {}
-            for at in range(120):
-                word, dest, call = WORDS[at % len(WORDS)], at % 3 + 1, fresh()
-                if at % 2:
-                    by_sip[call] = sips[at // 2 % 2]
-                    by_sip[call].invite(call, f"{word}-{at}", dest, 1500)
+            for index in range(120):
+                behaviour, dest, call = BEHAVIOURS[index % len(BEHAVIOURS)], index % 3 + 1, new_call_id()
+                if index % 2:
+                    by_sip[call] = sip_callers[index // 2 % 2]
+                    by_sip[call].invite(call, f"{behaviour}-{index}", dest, 1500)
                 else:
-                    by_api[call] = apis[at // 2 % 2]
-                    by_api[call].set_up(call, f"{word}-{at}", dest, 1500)
-                    if at % 8 == 0:  # the same request twice: the same call
-                        by_api[call].set_up(call, f"{word}-{at}", dest, 1500)
+                    by_api[call] = api_callers[index // 2 % 2]
+                    by_api[call].set_up(call, f"{behaviour}-{index}", dest, 1500)
+                    if index % 8 == 0:  # a repeated request belongs to the same call
+                        by_api[call].set_up(call, f"{behaviour}-{index}", dest, 1500)
             await until(lambda: all(c in by_sip[c].finals for c in by_sip)
                         and all(by_api[c].finals(c) for c in by_api))
-            await until(lambda: not any(n.standing for n in (*nodes.values(), *api.values())))
+            await until(lambda: not any(node.standing for node in (*nodes.values(), *api_nodes.values())))
             counts = await router.counts()
             answers = {c: len(s.finals[c]) for c, s in by_sip.items()}
             answers |= {c: len(s.finals(c)) for c, s in by_api.items()}
             assert set(answers.values()) == {1}
             assert counts["final_answered"] + counts["final_refused"] + counts["final_failed"] == 120
             assert counts["calls_in_hand"] == 0
-            assert sum(n.overlaps for n in (*nodes.values(), *api.values())) == 0
-            assert max(sum(n.seen[c] for n in (*nodes.values(), *api.values())) for c in answers) <= 6
+            assert sum(node.overlaps for node in (*nodes.values(), *api_nodes.values())) == 0
+            assert max(sum(node.seen[c] for node in (*nodes.values(), *api_nodes.values())) for c in answers) <= 6
             answered = [c for c in by_sip if by_sip[c].finals[c][0].status == 200]
             assert answered
             assert all(by_sip[c].finals[c][0].body == b"answer to offer " + c.encode() for c in answered)
             refusals = [f for c in by_sip for f in by_sip[c].finals[c] if f.status == 503]
             assert refusals
             assert all(int(f.headers["x-cooldown"]) >= 0 for f in refusals)
-            told = [m for c in by_api for m in by_api[c].finals(c)]
-            assert {m["type"] for m in told} >= {"answer", "refused"}
-            assert all(m["cooldown"] >= 0 for m in told if m["type"] == "refused")
-            for caller in sips:  # what stood and is over was released towards its caller
-                stood = {c for c, f in caller.finals.items() if f[0].status == 200}
-                await until(lambda stood=stood, caller=caller: stood == set(caller.byes))
-            for client in apis:
-                stood = {m["id"] for m in client.heard if m["type"] == "answer"}
-                await until(lambda stood=stood, client=client: stood == {
+            messages = [m for c in by_api for m in by_api[c].finals(c)]
+            assert {m["type"] for m in messages} >= {"answer", "refused"}
+            assert all(m["cooldown"] >= 0 for m in messages if m["type"] == "refused")
+            for caller in sip_callers:  # each call that was established has been released towards its caller
+                established = {c for c, f in caller.finals.items() if f[0].status == 200}
+                await until(lambda established=established, caller=caller: established == set(caller.byes))
+            for client in api_callers:
+                established = {m["id"] for m in client.heard if m["type"] == "answer"}
+                await until(lambda established=established, client=client: established == {
                     m["id"] for m in client.heard if m["type"] == "released"})
-    run(work)
+    run(run_test)
 
 
-def test_a_cancelled_set_up_is_given_up_at_the_peer_and_owes_no_answer() -> None:
-    async def work() -> None:
+def test_a_cancelled_set_up_is_cancelled_at_the_peer_and_gets_no_answer() -> None:
+    async def run_test() -> None:
         node = await BinaryNode().start()
         async with program({1: node}) as router:
             sip, api = await SipCaller.connect(router.port), await ApiCaller.connect(router.api_port)
-            first, second = fresh(), fresh()
+            first, second = new_call_id(), new_call_id()
             sip.invite(first, "silent-1", 1)
             api.set_up(second, "silent-2", 1)
             await until(lambda: node.seen[first] and node.seen[second])
@@ -86,38 +86,38 @@
             await until(lambda: first in sip.finals and api.told(second, "cancelled"))
             assert [f.status for f in sip.finals[first]] == [487]
             assert not api.finals(second)
-    run(work)
+    run(run_test)
 
 
-def test_a_socket_closed_mid_call_gives_up_what_is_open_and_keeps_what_stands() -> None:
-    async def work() -> None:
+def test_closing_a_socket_cancels_its_pending_calls_and_keeps_its_established_ones() -> None:
+    async def run_test() -> None:
         node = await BinaryNode().start()
         async with program({1: node}) as router:
             api = await ApiCaller.connect(router.api_port)
-            open_call, standing = fresh(), fresh()
-            api.set_up(open_call, "silent-1", 1)
-            api.set_up(standing, "long-1", 1)
-            await until(lambda: api.finals(standing) and node.seen[open_call])
+            pending, established = new_call_id(), new_call_id()
+            api.set_up(pending, "silent-1", 1)
+            api.set_up(established, "long-1", 1)
+            await until(lambda: api.finals(established) and node.seen[pending])
             api.close()
-            await until(lambda: open_call in {c for c, _ in node.released})
-            assert standing in node.standing
+            await until(lambda: pending in {c for c, _ in node.released})
+            assert established in node.standing
             other = await ApiCaller.connect(router.api_port)
-            other.send(type="resume", id=standing)
-            await until(lambda: other.told(standing, "answer"))
-            other.send(type="release", id=standing)
-            await until(lambda: other.told(standing, "released"))
-            await until(lambda: standing not in node.standing)
-            other.set_up(open_call, "silent-1", 1)  # repeated after the end: the same call, not a second one
-            await until(lambda: other.told(open_call, "cancelled"))
-            assert node.seen[open_call] == 1
-    run(work)
+            other.send(type="resume", id=established)
+            await until(lambda: other.told(established, "answer"))
+            other.send(type="release", id=established)
+            await until(lambda: other.told(established, "released"))
+            await until(lambda: established not in node.standing)
+            other.set_up(pending, "silent-1", 1)  # repeated after its end: the same call, not a second one
+            await until(lambda: other.told(pending, "cancelled"))
+            assert node.seen[pending] == 1
+    run(run_test)
 
 
-def test_what_a_client_gets_wrong_is_answered_and_harms_nothing_else() -> None:
-    async def work() -> None:
+def test_invalid_messages_of_a_client_get_errors_and_affect_no_other_call() -> None:
+    async def run_test() -> None:
         node = await BinaryNode().start()
         async with program({1: node}) as router:
-            api, call = await ApiCaller.connect(router.api_port), fresh()
+            api, call = await ApiCaller.connect(router.api_port), new_call_id()
             api.send(type="nonsense", id=call)
             api.send(type="setup", id=call, dest=1)
             api.send(type="cancel", id=call)
@@ -126,86 +126,87 @@
             await until(lambda: len(api.heard) == 5)
             assert [m["code"] for m in api.heard] == [
                 "unknown-type", "missing-field", "unknown-call", "unknown-class", "bad-field"]
-            late = fresh()
+            late = new_call_id()
             api.set_up(late, "good-1", 1, wait_ms=-1000)
             await until(lambda: api.finals(late))
             assert api.finals(late)[0]["type"] == "refused"
             assert api.finals(late)[0]["cooldown"] > 0
             assert not node.seen[late]
-            unreadable = await ApiCaller.connect(router.api_port)
-            unreadable.writer.write(b"\x81\x03abc")  # a client's frame has to be masked
-            await until(lambda: unreadable.closed is not None)
-            assert unreadable.closed == 1002
-            broken = await SipCaller.connect(router.port)
-            broken.writer.write(b"INVITE what SIP/2.0\r\n\r\n")
-            await until(broken.reader.at_eof)
+            unmasked = await ApiCaller.connect(router.api_port)
+            unmasked.writer.write(b"\x81\x03abc")  # a frame of a client has to be masked
+            await until(lambda: unmasked.closed is not None)
+            assert unmasked.closed == 1002
+            malformed = await SipCaller.connect(router.port)
+            malformed.writer.write(b"INVITE what SIP/2.0\r\n\r\n")
+            await until(malformed.reader.at_eof)
             api.set_up(call, "good-1", 1)
             await until(lambda: api.finals(call))
             assert api.finals(call)[0]["type"] == "answer"
-    run(work)
+    run(run_test)
 
 
 def test_a_peer_that_dies_cuts_its_calls_and_releases_them_towards_their_callers() -> None:
-    async def work() -> None:
+    async def run_test() -> None:
         node = await BinaryNode().start()
         async with program({1: node}) as router:
-            sip, call, out = await SipCaller.connect(router.port), fresh(), fresh()
+            sip, call, pending = await SipCaller.connect(router.port), new_call_id(), new_call_id()
             sip.invite(call, "long-1", 1)
             await until(lambda: call in sip.finals)
-            sip.invite(out, "silent-1", 1)
-            await until(lambda: node.seen[out])
+            sip.invite(pending, "silent-1", 1)
+            await until(lambda: node.seen[pending])
             assert node.server is not None
             node.server.close()
             for writer in node.writers:
                 writer.transport.abort()
-            await until(lambda: call in sip.byes and out in sip.finals)
-            assert sip.finals[out][0].status == 503
-    run(work)
+            await until(lambda: call in sip.byes and pending in sip.finals)
+            assert sip.finals[pending][0].status == 503
+    run(run_test)
 
 
 def test_the_release_of_a_call_set_up_before_a_restart_is_passed_on_to_its_caller_once() -> None:
-    async def work() -> None:
+    async def run_test() -> None:
         node = await BinaryNode().start()
         async with program({1: node}) as router:
-            sip, orphan, own = await SipCaller.connect(router.port), fresh(), fresh()
+            sip, orphan, own = await SipCaller.connect(router.port), new_call_id(), new_call_id()
             sip.invite(own, "fault-1", 1)
             await until(lambda: own in sip.finals)
-            node.end(node.writers[0], own, 16)  # a call of this process that never stood
+            node.end(node.writers[0], own, 16)  # a call of this process that was never established
             node.end(node.writers[0], orphan, 16)
-            node.end(node.writers[0], orphan, 16)  # told again, as on each new connection
+            node.end(node.writers[0], orphan, 16)  # sent again, as on each new connection
             await until(lambda: sip.byes)
             counts = await router.counts()
             assert sip.byes == [orphan]
             assert counts["releases_passed_on"] == 1
-    run(work)
+    run(run_test)
 
 
-def test_calls_that_stand_at_a_destination_are_resumed_when_its_socket_closes() -> None:
-    async def work() -> None:
+def test_established_calls_at_a_destination_are_resumed_after_its_socket_closes() -> None:
+    async def run_test() -> None:
         node = await ApiNode().start()
         async with program({}, {1: node}) as router:
-            sip, kept, lost, out = await SipCaller.connect(router.port), fresh(), fresh(), fresh()
-            sip.invite(kept, "long-1", 1)
+            sip, resumed, lost, pending = (
+                await SipCaller.connect(router.port), new_call_id(), new_call_id(), new_call_id())
+            sip.invite(resumed, "long-1", 1)
             sip.invite(lost, "long-2", 1)
-            sip.invite(out, "silent-1", 1)
-            await until(lambda: {kept, lost} <= set(sip.finals) and node.seen[out])
-            node.standing.discard(lost)  # it has forgotten that one
+            sip.invite(pending, "silent-1", 1)
+            await until(lambda: {resumed, lost} <= set(sip.finals) and node.seen[pending])
+            node.standing.discard(lost)  # the destination no longer has this call
             node.writers[0].close()
             await until(lambda: node.seen["resume"] == 2 and lost in sip.byes)
-            await until(lambda: out in sip.finals)  # what was open on the socket is broken
-            assert sip.finals[out][0].status == 503
-            assert kept not in sip.byes
-            sip.ask("BYE", kept)
-            await until(lambda: kept not in node.standing)
-            assert [node.seen[call] for call in (kept, lost, out)] == [1, 1, 1]  # no second set-up
-    run(work)
+            await until(lambda: pending in sip.finals)  # a pending set-up fails with its socket
+            assert sip.finals[pending][0].status == 503
+            assert resumed not in sip.byes
+            sip.ask("BYE", resumed)
+            await until(lambda: resumed not in node.standing)
+            assert [node.seen[call] for call in (resumed, lost, pending)] == [1, 1, 1]  # no second set-up
+    run(run_test)
 
 
-def test_a_cancel_that_crosses_the_answer_is_told_the_answer_again() -> None:
-    async def work() -> None:
+def test_a_cancel_that_crosses_the_answer_gets_the_answer_again() -> None:
+    async def run_test() -> None:
         node = await BinaryNode().start()
         async with program({1: node}) as router:
-            api, call = await ApiCaller.connect(router.api_port), fresh()
+            api, call = await ApiCaller.connect(router.api_port), new_call_id()
             api.set_up(call, "long-1", 1)
             await until(lambda: api.finals(call))
             api.send(type="cancel", id=call)
@@ -213,14 +214,14 @@
             assert call in node.standing
             api.send(type="release", id=call, cause=31)
             await until(lambda: (call, 31) in node.released)
-    run(work)
+    run(run_test)
 
 
-def test_sigterm_finishes_what_is_taken_and_still_takes_calls_for_a_while() -> None:
-    async def work() -> None:
+def test_after_sigterm_accepted_calls_finish_and_new_ones_are_accepted_for_a_while() -> None:
+    async def run_test() -> None:
         node = await BinaryNode().start()
         async with program({1: node}) as router:
-            sip, before, after = await SipCaller.connect(router.port), fresh(), fresh()
+            sip, before, after = await SipCaller.connect(router.port), new_call_id(), new_call_id()
             sip.invite(before, "good-1", 1)
             await until(lambda: node.seen[before])
             router.process.terminate()
@@ -231,32 +232,32 @@
             counts = await router.counts()
             assert counts["calls_in_hand"] == 0
             assert counts["final_answered"] == 2
-    run(work)
+    run(run_test)
 
 
-def test_sigterm_does_not_wait_for_calls_that_stand_until_it_is_killed() -> None:
-    async def work() -> None:
+def test_after_sigterm_the_program_exits_before_sigkill_despite_established_calls() -> None:
+    async def run_test() -> None:
         node = await BinaryNode().start()
         async with program({1: node}) as router:
-            sip, call = await SipCaller.connect(router.port), fresh()
+            sip, call = await SipCaller.connect(router.port), new_call_id()
             sip.invite(call, "long-1", 1)
             await until(lambda: call in sip.finals)
             counts = await router.counts()
             assert counts["calls_in_hand"] == 1
-            assert call in node.standing  # it goes on: the peer releases it to the next process
+            assert call in node.standing  # it stays established: the peer releases it to the next process
             assert not sip.byes
-    run(work)
+    run(run_test)
 
 
-def test_a_caller_releases_a_call_that_stood_before_a_restart() -> None:
-    async def work() -> None:
+def test_a_caller_releases_a_call_that_was_established_before_a_restart() -> None:
+    async def run_test() -> None:
         node = await BinaryNode().start()
         async with program({1: node}) as router:
-            sip, call, own = await SipCaller.connect(router.port), fresh(), fresh()
+            sip, call, own = await SipCaller.connect(router.port), new_call_id(), new_call_id()
             sip.invite(own, "fault-1", 1)
             await until(lambda: own in sip.finals)
-            sip.ask("BYE", own)  # of this process, and over: nothing is to be released
+            sip.ask("BYE", own)  # of this process and ended: there is nothing to release
             sip.ask("BYE", call)
             await until(lambda: call in {c for c, _ in node.released})
             assert own not in {c for c, _ in node.released}
-    run(work)
+    run(run_test)
