--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -425,9 +425,8 @@
     def _write_record(self, call: Call, event: str) -> None:
         request = call.request
         self.record(CallRecord(request.call_id, self.now_us(), event, request.service_name, request.number,
-                           request.dest, request.transit, call.attempts,
-                           call.attempt.peer if call.attempt else "", call.accepted_us,
-                           call.label))
+                               request.dest, request.transit, call.attempts,
+                               call.attempt.peer if call.attempt else "", call.accepted_us, call.label))
 
     @staticmethod
     def _log_fields(call: Call) -> dict[str, str]:
