--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -255,7 +255,7 @@
                 event = self._events.popleft()
                 try:
                     actions = self.controller.handle(self.now_us(), event)
-                except Exception as error:  # costs one call at most, which its guard timer answers
+                except Exception as error:  # a fault in a decision affects one call, which its guard timer answers
                     self.counts["module_faults"] += 1
                     self.log("module fault", told=type(event).__name__, error=repr(error))
                     continue
