--- a/astertrack/net/versionserver.py
+++ b/astertrack/net/versionserver.py
@@ -73,7 +73,7 @@
         elif message.target == control.STATUS_PATH and message.method == "POST":
             self._on_status(message.body)
         elif message.target == control.STATUS_PATH and message.method == "GET":
-            self._respond(200, "OK", msgspec.json.encode(list(self.service.ledger.latest_reports())))
+            self._respond(200, "OK", msgspec.json.encode(list(self.service.report_log.latest_reports())))
         else:
             self._respond(404, "Not Found", b"no such thing here")
 
@@ -135,7 +135,7 @@
     noisy = False
 
     def __init__(self, catalogue: Catalogue, clock: ReactorClock) -> None:
-        self.catalogue, self.clock, self.ledger = catalogue, clock, ReportLog()
+        self.catalogue, self.clock, self.report_log = catalogue, clock, ReportLog()
         self.counts: Counter[str] = Counter()
         self.connections: set[RouterConnection] = set()
         self.streams: set[RouterConnection] = set()
@@ -161,6 +161,6 @@
 
     def record_reports(self, reports: list[Report]) -> None:
         """Record a router's reports, and log the new ones."""
-        for report in self.ledger.add(reports):
+        for report in self.report_log.add(reports):
             log.info("report", router=report.router, version=f"{report.epoch}.{report.number}", stand=report.stand,
                      reason=report.reason, path=report.path, expected=report.expected)
--- a/laboratory/control_service.py
+++ b/laboratory/control_service.py
@@ -59,7 +59,7 @@
     """The service. `catalogue` answers who connects, as a sound service does; the rest is up to the script."""
 
     catalogue: Catalogue = field(default_factory=Catalogue)
-    ledger: ReportLog = field(default_factory=ReportLog)
+    report_log: ReportLog = field(default_factory=ReportLog)
     heard: list[Heard] = field(default_factory=list)  # each report once, in the order heard
     streams: list[Stream] = field(default_factory=list)  # all there have been
     answers: str = "hear"  # to status: "hear", "deaf" (503), "mute" (heard, and the connection dies), "hang"
@@ -141,7 +141,7 @@
             writer.write(http.encode_response(503, "Service Unavailable"))
         else:
             now = time.time_ns() // 1000
-            self.heard += [Heard(now, report) for report in self.ledger.add(read_reports(message.body))]
+            self.heard += [Heard(now, report) for report in self.report_log.add(read_reports(message.body))]
             if self.answers == "hear":
                 writer.write(http.encode_response(204, "No Content"))
         with contextlib.suppress(ConnectionError):
