--- a/astertrack/wire/common.py
+++ b/astertrack/wire/common.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """The input cannot be parsed. It is the last event of its connection, which the caller must close."""
+    """The input cannot be parsed. It is the last event of its connection, which has to be closed."""
 
     reason: str
 
--- a/astertrack/wire/http.py
+++ b/astertrack/wire/http.py
@@ -1,6 +1,6 @@
 """The subset of HTTP/1.1 (RFC 9112) that the control service needs: one request or response per connection.
 
-A body has a Content-Length; transfer codings are not supported. MessageDecoder decodes the messages of both ends. For
+A body needs a Content-Length; transfer codings are not supported. MessageDecoder decodes the messages of both ends. For
 browsers and proxies use a full HTTP library instead.
 """
 
--- a/astertrack/wire/websocket.py
+++ b/astertrack/wire/websocket.py
@@ -96,7 +96,7 @@
 
 
 def accept_token(key: str) -> str:
-    """Return the Sec-WebSocket-Accept value for a client's key (RFC 6455, section 4.2.2)."""
+    """Return the value of Sec-WebSocket-Accept, which proves that the server read the key (RFC 6455, section 4.2.2)."""
     return base64.b64encode(hashlib.sha1(key.encode() + HANDSHAKE_GUID).digest()).decode()
 
 
