--- a/astertrack/app.py
+++ b/astertrack/app.py
@@ -26,9 +26,9 @@
 
 log = structlog.get_logger()
 LATE_ARRIVALS_WINDOW_US = 900_000  # after SIGTERM connections arrive for 0.4 s and set-ups for 0.2 s; with a reserve
-ESTABLISHED_TIMEOUT_US = 3_200_000  # that a stop waits for established calls; the platform sends SIGKILL after 3.7 s
-STOP_CHECK_INTERVAL_US = 50_000  # of the checks whether all calls have ended
-STORE_CLOSE_TIMEOUT_US = 2_000_000
+ESTABLISHED_TIMEOUT_US = 3_200_000  # how long a stop waits for established calls; SIGKILL comes after 3.7 s
+STOP_CHECK_INTERVAL_US = 50_000  # between checks whether all calls have ended
+STORE_CLOSE_TIMEOUT_US = 2_000_000  # how long a stop waits for the store
 LISTEN_BACKLOG = 512
 # Shares of the file descriptors. Callers in use hold a third of all descriptors at most; the rest of the shares is for
 # connections that never send anything.
--- a/astertrack/core/model.py
+++ b/astertrack/core/model.py
@@ -23,7 +23,7 @@
     dest: int  # number of the destination exchange; -1: a policy of the gate supplies it
     number: str  # the called number
     deadline_us: int
-    description: bytes  # session description of the caller
+    description: bytes  # the caller's offer, which is passed on to the peer
     width: float = 1.0  # circuits that the call takes
     tenant: int = 0
     transit: bool = False
--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -255,7 +255,7 @@
                 event = self._events.popleft()
                 try:
                     actions = self.controller.handle(self.now_us(), event)
-                except Exception as error:  # costs one call at most, which its guard timer answers
+                except Exception as error:  # a fault in a decision affects one call, which its guard timer answers
                     self.counts["module_faults"] += 1
                     self.log("module fault", told=type(event).__name__, error=repr(error))
                     continue
@@ -425,9 +425,8 @@
     def _write_record(self, call: Call, event: str) -> None:
         request = call.request
         self.record(CallRecord(request.call_id, self.now_us(), event, request.service_name, request.number,
-                           request.dest, request.transit, call.attempts,
-                           call.attempt.peer if call.attempt else "", call.accepted_us,
-                           call.label))
+                               request.dest, request.transit, call.attempts,
+                               call.attempt.peer if call.attempt else "", call.accepted_us, call.label))
 
     @staticmethod
     def _log_fields(call: Call) -> dict[str, str]:
