--- a/astertrack/cli/plan.py
+++ b/astertrack/cli/plan.py
@@ -61,7 +61,7 @@
 @JSON_OPTION
 @report_errors
 def lookup(file: Path, number: str, dest: int, service: str, zone: str, as_json: bool) -> None:
-    """Tell where a call to NUMBER goes by the plan in FILE_PATH. Exit code 1: it is turned away."""
+    """Look up where a call to NUMBER goes by the plan in FILE. Exit code 1: the call is refused."""
     if number.strip(DIGITS) or not number:
         fail(f"{number!r} is no number: digits 0-9 and letters a-f are")
     _, plan, _ = read_plan_file(file)
