--- a/astertrack/cli/plan.py
+++ b/astertrack/cli/plan.py
@@ -1,4 +1,4 @@
-"""astertrack plan: make a plan of a file, and ask it."""
+"""astertrack plan: compile a plan file, and look up calls in it."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @click.group("plan")
 def command() -> None:
-    """Make a plan of a file, and ask it where a call goes."""
+    """Compile a plan file, and look up where a call goes."""
 
 
 @command.command("compile")
@@ -37,17 +37,17 @@
 @JSON_OPTION
 @report_errors
 def compile_command(file: Path, as_json: bool) -> None:
-    """Make the plan of a file as a router does, and tell its size, digest, time and memory."""
-    began = time.perf_counter()
+    """Compile a plan file as a router does, and print its size, digest, compile time and memory."""
+    started = time.perf_counter()
     id, plan, _ = read_plan_file(file)
-    took_ms = (time.perf_counter() - began) * 1000
+    took_ms = (time.perf_counter() - started) * 1000
     tracemalloc.start()
-    held = read_plan_file(file)
-    memory = tracemalloc.get_traced_memory()[0]
+    measured_plan = read_plan_file(file)
+    memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del held
+    del measured_plan
     values = {"version": str(id), "records": plan.size, "prefixes": len(plan.prefixes), "state": f"{plan.state:064x}",
-              "took_ms": round(took_ms, 1), "memory_kib": memory // 1024,
+              "took_ms": round(took_ms, 1), "memory_kib": memory_bytes // 1024,
               "kinds": {kind: len(records) for kind, records in plan.records_by_kind.items()}}
     print_result(values, as_json, "\n".join(f"{name:10} {value}" for name, value in values.items()))
 
@@ -63,31 +63,31 @@
 def lookup(file: Path, number: str, dest: int, service: str, zone: str, as_json: bool) -> None:
     """Look up where a call to NUMBER goes by the plan in FILE. Exit code 1: the call is refused."""
     if number.strip(DIGITS) or not number:
-        fail(f"{number!r} is no number: digits 0-9 and letters a-f are")
+        fail(f"{number!r} is not a number: expected digits 0-9 and letters a-f")
     _, plan, _ = read_plan_file(file)
-    hit = plan.prefixes.match(number)
-    asked = RouteQuery(number, dest, service, False)
-    found = resolve_destination(plan, asked)
-    values: dict[str, Any] = {"number": number, "prefix": number[:hit[0]] if hit is not None else None}
-    if hit is not None:
-        values["record"] = {"kind": "prefix", "digits": number[:hit[0]], "exchange": hit[1]} if isinstance(
-            hit[1], int) else msgspec.to_builtins(hit[1])
-        if isinstance(hit[1], Range):
-            values["prefix"] = hit[1].key()
-    if not isinstance(found, int):
-        values |= {"turned_away": found[0], "wait_ms": found[2]}
-        print_result(values, as_json, f"{number}: turned away: {found[0]} {found[1]}".rstrip())
+    entry = plan.prefixes.match(number)
+    query = RouteQuery(number, dest, service, False)
+    destination = resolve_destination(plan, query)
+    values: dict[str, Any] = {"number": number, "prefix": number[:entry[0]] if entry is not None else None}
+    if entry is not None:
+        values["record"] = {"kind": "prefix", "digits": number[:entry[0]], "exchange": entry[1]} if isinstance(
+            entry[1], int) else msgspec.to_builtins(entry[1])
+        if isinstance(entry[1], Range):
+            values["prefix"] = entry[1].key()
+    if not isinstance(destination, int):
+        values |= {"turned_away": destination[0], "wait_ms": destination[2]}
+        print_result(values, as_json, f"{number}: refused: {destination[0]} {destination[1]}".rstrip())
         exit_with(EXIT_NEGATIVE)
-    route = plan.route(found, service, zone)
+    route = plan.route(destination, service, zone)
     tiers = [sorted(tier) if tier is not None else ["any"] for tier in route.tiers]
-    limits = [limit.name for limit in plan.records_of("limit").values() if limit_applies(limit, asked, found)]
-    values |= {"exchange": found, "ways": tiers or [["any"]], "never": sorted(route.never), "limits": limits}
-    text = [f"{number}: exchange {found}, by {'prefix ' + str(values['prefix']) if hit else 'its caller'}",
-            "ways: " + (", then ".join("any" if tier == ["any"] else "direct" if tier == [found]
-                                       else "over " + " or ".join(map(str, tier)) for tier in tiers)
-                        or "direct, then any")]
+    limits = [limit.name for limit in plan.records_of("limit").values() if limit_applies(limit, query, destination)]
+    values |= {"exchange": destination, "ways": tiers or [["any"]], "never": sorted(route.never), "limits": limits}
+    text = [f"{number}: exchange {destination}, by {'prefix ' + str(values['prefix']) if entry else 'its caller'}",
+            "routes: " + (", then ".join("any" if tier == ["any"] else "direct" if tier == [destination]
+                                         else "over " + " or ".join(map(str, tier)) for tier in tiers)
+                          or "direct, then any")]
     if route.never:
-        text.append("never over " + ", ".join(map(str, sorted(route.never))))
+        text.append("excluded: " + ", ".join(map(str, sorted(route.never))))
     if limits:
         text.append("limits: " + ", ".join(limits))
     print_result(values, as_json, "\n".join(text))
--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -1,4 +1,4 @@
-"""Configuration in versions as a part of a router: the plan at the gate, the control wire, and the store."""
+"""Versioned routing plans as a part of a router: the plan policy of the gate, the control client and the store."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 from ospreylug import interface as io
 
 log = structlog.get_logger()
-NO_PLAN_WAIT_US = 2_000_000  # a call that needs a plan to find its route, and there is none yet
-CUT_SHARE = 0.5  # of a zone's exchanges that do not answer: the zone is taken for cut off
-# The store's thread gives the interpreter's lock back so soon when calls want it; by default they wait 5 ms.
-SWITCH_S = 0.0005
-LINES_A_TURN = 200  # of a plan that is written out whole for the store
+NO_PLAN_WAIT_US = 2_000_000  # after which a caller may retry whose call needs a plan while there is none yet
+ZONE_OUTAGE_RATIO = 0.5  # if this share of a zone's exchanges does not answer, the zone is taken as cut off
+# After this time the store's thread yields the interpreter lock to the calls, which by default would wait 5 ms for it.
+SWITCH_INTERVAL_S = 0.0005
+LINES_PER_TURN = 200  # of a plan that is written to the store as a full version
 
 
 class _Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -68,7 +68,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """deploy/versions.toml."""
+    """The versions file, deploy/versions.toml."""
 
     service: _Service = _Service()
     plan: _PlanFile = _PlanFile()
@@ -78,51 +78,55 @@
 
 
 def read_settings(path: Path) -> Settings:
-    """Read and check the file, or raise a ConfigError that names file, field and what was expected."""
+    """Read and validate the versions file. Raises ConfigError, naming the file, the field and what was expected."""
     try:
         settings = msgspec.convert(read_toml(path), Settings)
-    except msgspec.ValidationError as wrong:
-        expected, field = split_validation_error(wrong)
+    except msgspec.ValidationError as error:
+        expected, field = split_validation_error(error)
         raise ConfigError(f"{path}: {field or 'the file'}: {expected}") from None
     if settings.service.address:
         _, port = split_address(settings.service.address, f"{path}: service.address")
         if not port:
-            raise ConfigError(f"{path}: service.address: a port above 0 is needed")
+            raise ConfigError(f"{path}: service.address: a port above 0 is required")
     return settings
 
 
 def read_plan_file(path: Path) -> tuple[VersionId, Plan, int]:
-    """Read a plan of our own form, or raise a ConfigError; without a number it is version 1.1."""
+    """Read a plan file: the version, the plan, and the time in ms from which the version is in force.
+
+    A file without a [version] table is version 1.1. Raises ConfigError.
+    """
     try:
-        read = read_plan(path.read_text("utf-8"))
-    except (OSError, UnicodeDecodeError) as wrong:
-        raise ConfigError(f"{path}: {wrong}") from None
-    except PlanError as refused:
-        raise ConfigError(f"{path}: {refused}") from None
+        plan_file = read_plan(path.read_text("utf-8"))
+    except (OSError, UnicodeDecodeError) as error:
+        raise ConfigError(f"{path}: {error}") from None
+    except PlanError as error:
+        raise ConfigError(f"{path}: {error}") from None
     try:
-        plan = build(iter(read.records))
-    except PlanError as refused:
-        finding = refused.finding
-        record = read.records[finding.line - 1] if finding.line else None
-        where = f"{record.__struct_config__.tag} {record.key()!r}: " if record is not None else ""
-        raise ConfigError(f"{path}: {where}{finding.reason.value}: {finding.path or 'record'}: "
+        plan = build(iter(plan_file.records))
+    except PlanError as error:
+        finding = error.finding
+        record = plan_file.records[finding.line - 1] if finding.line else None
+        location = f"{record.__struct_config__.tag} {record.key()!r}: " if record is not None else ""
+        raise ConfigError(f"{path}: {location}{finding.reason.value}: {finding.path or 'record'}: "
                           f"{finding.expected}") from None
-    if read.version is None:
+    if plan_file.version is None:
         return VersionId(1, 1), plan, 0
-    return VersionId(read.version.epoch, read.version.number), plan, read.version.in_force_ms
+    return (VersionId(plan_file.version.epoch, plan_file.version.number), plan,
+            plan_file.version.in_force_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class _Token:
-    """What the policy keeps of a call: its version from its first moment on."""
+    """The policy's token of a call, with the version in force when the call was offered, which it keeps to its end."""
 
     version: ActiveVersion
-    passed: PlanAdmission
-    dest: int  # as its caller gave it
+    admission: PlanAdmission
+    dest: int  # as given by the caller
 
 
 class PlanPolicy:
-    """The gate's entry for the plan in force."""
+    """The gate's policy that applies the routing plan in force."""
 
     name = "plan"
     fail_closed = False
@@ -131,7 +135,7 @@
         self.versions, self.evaluator = versions, evaluator
 
     def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
-        """Resolve, narrow or refuse a call by the version in force at this instant."""
+        """Resolve, constrain or refuse a call by the version in force at this time."""
         version = self.versions.activate_due(now_us)
         if version is None:
             return Refusal("no-plan", NO_PLAN_WAIT_US) if request.dest < 0 else None
@@ -141,83 +145,86 @@
         label = str(version.id)
         if isinstance(verdict, PlanRefusal):
             if verdict.cause == "unmatched" and not request.transit:
-                self._outcome(version, request, dest, now_us, failed=True)
+                self._record_outcome(version, request, dest, now_us, failed=True)
             return Refusal(verdict.cause, verdict.wait_us, label)
         route = verdict.route
         return Approval(route.dest, RouteConstraint(route.tiers, route.never), label, _Token(version, verdict, dest))
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
-        """The constraint has said it."""
+        """Return True: the route constraint of the approval decides."""
         return True
 
     def sent(self, token: object, request: Request, entry: io.Entry, now_us: int) -> None:
-        """Nothing hangs on it."""
+        """Do nothing: the plan does not depend on it."""
 
     def final(self, token: object, request: Request, final: FinalResult, now_us: int) -> None:
-        """A call's end tells of its version, unless its caller had enough of waiting or it was only passing."""
+        """Record the outcome of the call for its version.
+
+        Not for a call that its caller cancelled, or that is only in transit: they say nothing about the version.
+        """
         if isinstance(token, _Token) and final is not FinalResult.CANCELLED and not request.transit:
-            self._outcome(token.version, request, token.dest, now_us, final is not FinalResult.ANSWERED)
+            self._record_outcome(token.version, request, token.dest, now_us, final is not FinalResult.ANSWERED)
 
-    def _outcome(self, version: ActiveVersion, request: Request, dest: int, now_us: int, failed: bool) -> None:
+    def _record_outcome(self, version: ActiveVersion, request: Request, dest: int, now_us: int, failed: bool) -> None:
         exchange = version.plan.records_of("exchange").get(str(request.dest))
         zone = exchange.zone if exchange is not None else ""
         self.versions.record_outcome(
             version.id, CallOutcome(request.number, dest, request.service_name, zone, now_us, failed))
 
     def over(self, token: object, request: Request, now_us: int) -> None:
-        """Its limits have room again."""
+        """Release what the call holds of the plan's limits."""
         if isinstance(token, _Token):
-            self.evaluator.release(token.passed)
+            self.evaluator.release(token.admission)
 
 
 class VersionsPart:
-    """Everything of it that one router has."""
+    """The versions subsystem of one router."""
 
     def __init__(self, context: PartContext, path: Path) -> None:
         self.context, self.path = context, path
         self.settings = read_settings(path)
         config, settings = context.config, self.settings
-        zones, at = config.zones, config.settings.zone
-        zone = zones[at] if 0 <= at < len(zones) else ""
+        zones, zone_index = config.zones, config.settings.zone
+        zone = zones[zone_index] if 0 <= zone_index < len(zones) else ""
         self.source = random.Random(config.seed)
         self.versions = VersionManager(
             VersionSettings(config.name, zone, int(settings.probation.seconds * 1e6), settings.limits.octets,
                             bool(settings.store.folder)), self.source)
         self.files = VersionFiles(Path(settings.store.folder)) if settings.store.folder else None
         if self.files is not None:
-            sys.setswitchinterval(SWITCH_S)
+            sys.setswitchinterval(SWITCH_INTERVAL_S)
         self.client = ControlClient(settings.service.address, config.name, self.versions, context.clock, context.counts,
-                                    self.source, self._store)
+                                    self.source, self._write_to_store)
         self.policy = PlanPolicy(self.versions, PlanEvaluator(zone, config.settings.home, self.source))
         self.router: Router | None = None
-        self._storing: Deferred[Any] = succeed(None)
+        self._write_queue: Deferred[Any] = succeed(None)
         self._stopped = False
 
     def policies(self) -> Sequence[Policy]:
-        """Its entry for the gate."""
+        """Return its admission policy for the gate."""
         return (self.policy,)
 
     def start(self, router: Router) -> None:
-        """Take up the last good version, then the file's, then the service's."""
+        """Restore the last good version, offer the plan file's, then follow the service."""
         self.router = router
         if self.files is not None:
-            kept, wrong = self.files.load()
-            for line in wrong:
+            stored_version, errors = self.files.load()
+            for message in errors:
                 self.context.counts["versions_store_spoilt"] += 1
-                log.warning("kept version cannot be used", folder=str(self.files.folder), error=line)
-            if kept is not None:
-                self.versions.restore(kept.id, kept.plan, router.now_us())
-                log.info("kept version in force", version=str(kept.id), records=kept.plan.size)
+                log.warning("kept version cannot be used", folder=str(self.files.folder), error=message)
+            if stored_version is not None:
+                self.versions.restore(stored_version.id, stored_version.plan, router.now_us())
+                log.info("kept version in force", version=str(stored_version.id), records=stored_version.plan.size)
         if self.settings.plan.file:
             self._offer(*read_plan_file(self._plan_path()))
         self.client.start()
-        self._watch()
+        self._check_zones()
 
     def _plan_path(self) -> Path:
-        return self.path.parent / self.settings.plan.file  # a relative one: beside the settings
+        return self.path.parent / self.settings.plan.file  # relative to the versions file
 
     def _offer(self, id: VersionId, plan: Plan, in_force_ms: int) -> None:
-        """Offer the file's version as the service's are offered: the same order and checks hold for it."""
+        """Offer the plan file's version like those of the service, so that the same order and checks apply to it."""
         assert self.router is not None
         now = self.router.now_us()
         document = make_document(id, plan.records(), plan.state, in_force_ms=in_force_ms)
@@ -229,26 +236,26 @@
         self.client.execute_actions()
 
     def reload(self) -> None:
-        """Follow the service and read the plan file that the settings now name."""
+        """Follow the service and read the plan file that the settings name now; invalid files change nothing."""
         try:
             settings = read_settings(self.path)
-            offered = read_plan_file(self.path.parent / settings.plan.file) if settings.plan.file else None
-        except ConfigError as wrong:
+            version = read_plan_file(self.path.parent / settings.plan.file) if settings.plan.file else None
+        except ConfigError as error:
             self.context.counts["reloads_failed"] += 1
-            log.warning("settings not taken over", error=str(wrong))
+            log.warning("settings not taken over", error=str(error))
             return
         self.settings = settings
         self.client.switch_address(settings.service.address)
-        if offered is not None:
-            self._offer(*offered)
+        if version is not None:
+            self._offer(*version)
 
     def stop(self) -> None:
-        """Calls in hand keep their versions; nothing new is read."""
+        """Stop reading versions; current calls keep theirs."""
         self._stopped = True
         self.client.stop()
 
     def update_counters(self) -> None:
-        """Bring the counters up to date."""
+        """Update the counters that are computed on request."""
         counts, client = self.context.counts, self.client
         counts.update({name: value - counts[name] for name, value in self.versions.counts.items()})
         counts["control_longest_turn_us"] = client.longest_turn_us
@@ -260,78 +267,79 @@
 
     # ---- zones
 
-    def _watch(self) -> None:
-        """Notice zones that do not answer: no version is to be blamed for them alone."""
+    def _check_zones(self) -> None:
+        """Detect zones that do not answer, so that no version is blamed for failures in them alone."""
         if self._stopped:
             return
         if self.versions.probation is not None and self.router is not None:
-            up: dict[int, list[bool]] = {}
+            health_by_zone: dict[int, list[bool]] = {}
             for name, link in self.context.peers.links.items():
                 entry = self.router.roster.get(name)
                 if entry is not None:
-                    up.setdefault(entry.zone, []).append(link.is_healthy())
-            for zone, links in up.items():
-                if links.count(False) >= CUT_SHARE * len(links):
+                    health_by_zone.setdefault(entry.zone, []).append(link.is_healthy())
+            for zone, health in health_by_zone.items():
+                if health.count(False) >= ZONE_OUTAGE_RATIO * len(health):
                     zones = self.context.config.zones
                     self.versions.mark_disturbed(zones[zone] if 0 <= zone < len(zones) else "")
-        self.context.clock.call_at(self.context.clock.now_us() + TICK_INTERVAL_US, self._watch)
+        self.context.clock.call_at(self.context.clock.now_us() + TICK_INTERVAL_US, self._check_zones)
 
     # ---- the store
 
-    def _store(self, action: StoreVersion | SetCurrentVersion) -> None:
-        """Write in a thread, one thing after the other; a disk that fails or is slow costs no call."""
+    def _write_to_store(self, action: StoreVersion | SetCurrentVersion) -> None:
+        """Carry out a write in a thread, one after the other, so that a failing or slow disk costs no call."""
         files = self.files
         if files is None:
             return
         if isinstance(action, StoreVersion):
-            self._in_thread("keep", lambda: files.save(action.header, action.text))
+            self._run_in_thread("keep", lambda: files.save(action.header, action.text))
             return
         id = action.id
         if files.chain_too_long(id) and self.versions.in_force is not None and self.versions.in_force.id == id:
-            self._write_whole(id, self.versions.in_force.plan)
+            self._write_full_version(id, self.versions.in_force.plan)
         else:
-            self._in_thread("point", lambda: files.set_current(id))
+            self._run_in_thread("point", lambda: files.set_current(id))
 
-    def _in_thread(self, what: str, do: Callable[[], bool]) -> None:
+    def _run_in_thread(self, step: str, write: Callable[[], bool]) -> None:
         pool = self.context.reactor.getThreadPool()
-        self._storing.addCallback(lambda _: deferToThreadPool(self.context.reactor, pool, do))
-        self._storing.addCallbacks(lambda done: self._stored(what, done), lambda wrong: self._unstored(what, wrong))
+        self._write_queue.addCallback(lambda _: deferToThreadPool(self.context.reactor, pool, write))
+        self._write_queue.addCallbacks(lambda is_complete: self._on_written(step, is_complete),
+                                         lambda failure: self._on_write_failed(step, failure))
 
-    def _stored(self, what: str, done: bool) -> None:
-        self.context.counts[f"versions_store_{what}" if done else "versions_store_not_whole"] += 1
+    def _on_written(self, step: str, is_complete: bool) -> None:
+        self.context.counts[f"versions_store_{step}" if is_complete else "versions_store_not_whole"] += 1
 
-    def _unstored(self, what: str, wrong: Failure) -> None:
+    def _on_write_failed(self, step: str, failure: Failure) -> None:
         self.context.counts["versions_store_failures"] += 1
-        log.warning("version not stored", step=what, error=str(wrong.value))
+        log.warning("version not stored", step=step, error=str(failure.value))
 
-    def _write_whole(self, id: VersionId, plan: Plan) -> None:
-        """Write a plan that stands on many deltas as one full version, a few lines a turn."""
-        pieces: list[bytes] = []
-        counted = [0, 0]  # records, octets
+    def _write_full_version(self, id: VersionId, plan: Plan) -> None:
+        """Write a plan that depends on many deltas as one full version, LINES_PER_TURN lines per reactor turn."""
+        chunks: list[bytes] = []
+        totals = [0, 0]  # records, bytes
 
-        def some(records: Iterator[Any]) -> None:
-            lines = [write_line(record) for record, _ in zip(records, range(LINES_A_TURN), strict=False)]
+        def encode_lines(records: Iterator[Any]) -> None:
+            lines = [write_line(record) for record, _ in zip(records, range(LINES_PER_TURN), strict=False)]
             if lines:
-                pieces.append(b"\n".join((*lines, b"")))
-                counted[0] += len(lines)
-                counted[1] += len(pieces[-1])
-                self.context.reactor.callLater(0, some, records)
+                chunks.append(b"\n".join((*lines, b"")))
+                totals[0] += len(lines)
+                totals[1] += len(chunks[-1])
+                self.context.reactor.callLater(0, encode_lines, records)
             elif (files := self.files) is not None:
-                header = Header(id.epoch, id.number, counted[0], counted[1], digest_of(pieces), f"{plan.state:064x}")
-                self._in_thread("keep", lambda: files.save(header, pieces))
-                self._in_thread("point", lambda: files.set_current(id))
+                header = Header(id.epoch, id.number, totals[0], totals[1], compute_digest(chunks), f"{plan.state:064x}")
+                self._run_in_thread("keep", lambda: files.save(header, chunks))
+                self._run_in_thread("point", lambda: files.set_current(id))
 
-        some(plan.records())
+        encode_lines(plan.records())
 
 
-def digest_of(pieces: list[bytes]) -> str:
-    """Return the SHA-256 of a text in pieces."""
+def compute_digest(chunks: list[bytes]) -> str:
+    """Return the SHA-256 of a text in chunks, in hexadecimal."""
     digest = hashlib.sha256()
-    for piece in pieces:
-        digest.update(piece)
+    for chunk in chunks:
+        digest.update(chunk)
     return digest.hexdigest()
 
 
 def make(context: PartContext, path: Path) -> VersionsPart:
-    """Make the part; raises ConfigError."""
+    """Create the part. Raises ConfigError."""
     return VersionsPart(context, path)
