--- a/ospreylug/interface.py
+++ b/ospreylug/interface.py
@@ -1,6 +1,10 @@
 """The interface of the decision module: its settings, the events it takes and the actions it returns.
 
-Times are microseconds of the clock that is passed to Controller.handle. This module holds data types only.
+Fields named *_us are in microseconds. deadline_us of CallOffered, started_us and at_us are points in time of the
+clock that is passed to Controller.handle; all others are durations. This module holds data types only.
+
+The interface is wider than its present use: Controller ignores peer messages, sends no messages, probes,
+cancellations or one-time roster requests, and doesn't read the fields marked "not read by Controller".
 """
 
 from __future__ import annotations
@@ -75,11 +79,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """A class of call. Its times are durations."""
+    """A class of call. aim_us and deadline_us count from the first attempt of the caller."""
 
     aim_us: int  # an answer within this time earns the full worth
     deadline_us: int  # after this time the caller has given up
-    worth: float
+    worth: float  # value of a call answered within aim_us; only its ratio to that of other classes matters
     late_worth: float = 0.0  # fraction of the worth that a later answer earns
     width: float = 1.0  # circuits per call
     hold_us: int = 0  # mean holding time
@@ -91,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer that shares the network with others."""
+    """A customer that shares the network with others. Not read by Controller."""
 
     fraction: float
     quota_per_s: float
@@ -101,35 +105,35 @@
 class Settings:
     """The settings of a controller, fixed at its start.
 
-    Raises ValueError, naming the field, for values that no network can have.
+    Raises a ValueError that names the field if a value is out of range.
     """
 
-    controllers: int  # controllers in the network, this one included
-    number: int  # of this controller
+    controllers: int  # controllers in the network, this one included; not read by Controller
+    number: int  # of this controller; not read by Controller
     home: int  # number of the own exchange; -1 with Topology.POOLS
     topology: Topology
     classes: tuple[ServiceClass, ...]
-    tenants: tuple[Tenant, ...] = ()
-    over_share_worth: float = 1.0
-    zone: int = -1
+    tenants: tuple[Tenant, ...] = ()  # not read by Controller
+    over_share_worth: float = 1.0  # not read by Controller
+    zone: int = -1  # of the own exchange; -1: unknown; not read by Controller
     max_attempts: int = 1  # per call
     release_us: int = 0  # wait before the next attempt after a time-out, a lost connection or a cancellation
-    resend_us: int = 0
-    drain_grace_us: int = 0
+    resend_us: int = 0  # not read by Controller
+    drain_grace_us: int = 0  # not read by Controller
     cold_from: float = 1.0  # fraction of its capacity that a processor has when it starts
     cold_us: int = 0  # warm-up time of a processor after its start
     fall_multiple: float = 1.0  # a cold processor is overloaded above this multiple of its capacity
     fall_us: int = 0  # time over which that load is measured
-    answer_grace_us: int = 0  # how long after its deadline a call may still be answered
+    answer_grace_us: int = 0  # how long after its deadline a call may still be answered; not read by Controller
     roster_on_request: bool = False  # the roster is sent on request only
     ask_every_us: int = 0  # period within which a roster on request has to be requested again
-    may_probe: bool = False
-    may_message: bool = False
-    may_call_off: bool = False
+    may_probe: bool = False  # Probe is allowed; not read by Controller
+    may_message: bool = False  # TellPeers is allowed; not read by Controller
+    may_call_off: bool = False  # CallOff is allowed; not read by Controller
     callers_wait: bool = False  # refusals tell callers how long to wait
     max_caller_wait_us: int = 0  # longest wait that callers honour
-    tandem_advice: bool = False  # offered calls may recommend a tandem
-    tick_us: int = 1000
+    tandem_advice: bool = False  # offered calls may recommend a tandem; not read by Controller
+    tick_us: int = 1000  # not read by Controller
 
     def __post_init__(self) -> None:
         """Check the values."""
@@ -160,12 +164,12 @@
 class Load:
     """A load report on a remote exchange; None where the report gives no value."""
 
-    free: float | None = None  # free circuits of the group towards it: exact when sent
+    free: float | None = None  # free circuits of the group towards it, exact at the time of the report
     size: float | None = None  # circuits of that group
     queue: float | None = None  # set-ups queued at its processor
-    in_progress: float | None = None  # set-ups that its processor is handling
-    utilization: float | None = None  # of its processor, from 0 to 1
-    wait_us: float | None = None  # waiting time at its processor
+    in_progress: float | None = None  # set-ups that its processor is handling; not read by Controller
+    utilization: float | None = None  # of its processor, from 0 to 1; not read by Controller
+    wait_us: float | None = None  # time that set-ups wait at its processor
     capacity_per_s: float | None = None  # set-ups per second that it can take from all senders together
     hold_back: float | None = None  # fraction of the set-ups that it asks every sender to hold back
 
@@ -177,9 +181,9 @@
     exchange: str  # its name
     number: int
     zone: int  # -1: unknown
-    kind: int = 0  # type of its hardware
+    kind: int = 0  # type of its hardware; not read by Controller
     readiness: Readiness = Readiness.READY
-    weight: float = 1.0
+    weight: float = 1.0  # not read by Controller
     started_us: int | None = None  # when its processor started; None: unknown, taken as warmed up
 
 
@@ -188,7 +192,7 @@
     """The roster has changed, or could not be obtained."""
 
     kind: RosterKind
-    entries: tuple[Entry, ...] = ()
+    entries: tuple[Entry, ...] = ()  # as the kind says
 
 
 @dataclass(frozen=True, slots=True)
@@ -201,13 +205,13 @@
     number: str  # the called number; empty: unknown
     deadline_us: int  # absolute time at which the caller gives up
     width: float = 1.0  # circuits that it takes
-    tenant: int = 0  # index into Settings.tenants
+    tenant: int = 0  # index into Settings.tenants; used to tell callers apart, any value is accepted
     transit: bool = False
-    via: int = -1  # recommended tandem, or the exchange from which a call in transit comes; -1: none
-    repeated: bool = False  # the caller has sent it before
+    via: int = -1  # recommended tandem, or the exchange a call in transit comes from; -1: none; not read by Controller
+    repeated: bool = False  # the caller has sent it before; not read by Controller
     cut_before: bool = False  # the caller returns after an established call was cut
-    # Route constraint: groups of exchange numbers in order of preference; None: any other exchange.
-    tiers: tuple[frozenset[int] | None, ...] = ()  # empty: any
+    # Route constraint: groups of exchange numbers in order of preference; a group of None allows every exchange.
+    tiers: tuple[frozenset[int] | None, ...] = ()  # empty: no constraint
     never: frozenset[int] = frozenset()  # excluded exchanges
 
 
@@ -218,7 +222,7 @@
     call: str
     attempt: int
     exchange: str
-    delay_us: int
+    delay_us: int  # since the set-up was sent
 
 
 @dataclass(frozen=True, slots=True)
@@ -230,9 +234,9 @@
     exchange: str
     outcome: Outcome
     delay_us: int  # since the set-up was sent
-    settled: bool  # the call needs no further answer
+    settled: bool  # the caller has its final answer or has left: no Refuse or Fail may follow
     cause: Cause = Cause.NONE
-    wait_us: int = 0  # how long a full processor asks senders to wait
+    wait_us: int = 0  # how long a full processor asks senders to wait; not read by Controller
     load: Load = field(default_factory=Load)
 
 
@@ -247,7 +251,7 @@
 class TimerDue:
     """A timer that was set with SetTimer has expired."""
 
-    token: str
+    token: str  # that of the SetTimer action
 
 
 @dataclass(frozen=True, slots=True)
@@ -255,8 +259,8 @@
     """The free circuits of a group of the own exchange have changed, or a probe has ended."""
 
     exchange: str
-    ok: bool  # False: the exchange cannot be reached
-    delay_us: int
+    ok: bool  # False: the exchange cannot be reached; not read by Controller
+    delay_us: int  # response time of the probe; not read by Controller
     load: Load
 
 
@@ -278,7 +282,7 @@
 
     call: str
     exchange: str
-    timeout_us: int
+    timeout_us: int  # from now
 
 
 @dataclass(frozen=True, slots=True)
@@ -308,8 +312,8 @@
 class SetTimer:
     """Request a TimerDue event at an absolute time."""
 
-    token: str
-    at_us: int
+    token: str  # returned in TimerDue
+    at_us: int  # absolute time
 
 
 @dataclass(frozen=True, slots=True)
