--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -54,7 +54,7 @@
     assert sent_to(stage.offer(7)[1])
     assert len(stage.controller.remembered_tandems[7]) <= TANDEM_SAMPLE_SIZE
     stage.handle(io.RosterChange(io.RosterKind.REPLACE, entries(range(3))))
-    assert stage.controller.ready_numbers == [1, 2]
+    assert stage.controller.tandem_numbers == [1, 2]
 
 
 def test_tandem_backoff_ends() -> None:
