--- a/ospreylug/wirehost.py
+++ b/ospreylug/wirehost.py
@@ -1,4 +1,8 @@
-"""Adapter that connects many controllers to one simulator: JSON lines in and out. It only translates."""
+"""Adapter that connects many controllers to one simulator: JSON lines in and out. It only translates.
+
+Each line in is a batch of messages at one simulated time, grouped by controller instance, which the wire format
+calls a proxy. Each line out is the reply to one batch: the actions of every instance in it.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +16,16 @@
 from ospreylug import interface as io
 from ospreylug.logic import Controller
 
-OUTCOMES = {0: io.Outcome.OK, 13: io.Outcome.NUMBER_FAULT, 8: io.Outcome.TURNED_AWAY, 4: io.Outcome.TIMEOUT,
-            14: io.Outcome.UNREACHABLE, 10: io.Outcome.CUT, 1: io.Outcome.CALLED_OFF, 9: io.Outcome.NOT_SENT}
-EFFECTS = {"free": io.Repeatability.FREE, "guarded": io.Repeatability.GUARDED,
-           "single_shot": io.Repeatability.SINGLE}
-SCOPES = {"all": io.RepeatScope.ALL, "zone": io.RepeatScope.ZONE, "cell": io.RepeatScope.EXCHANGE}
-CAUSES = {1: io.Cause.NO_CIRCUIT, 2: io.Cause.CRANKBACK, 18: io.Cause.CRANKBACK_FULL, 4: io.Cause.LINES_BUSY}
+# By the code on the wire. The codes match those of gRPC: 4 is DEADLINE_EXCEEDED, 14 UNAVAILABLE.
+OUTCOME_BY_CODE = {0: io.Outcome.OK, 13: io.Outcome.NUMBER_FAULT, 8: io.Outcome.TURNED_AWAY, 4: io.Outcome.TIMEOUT,
+                   14: io.Outcome.UNREACHABLE, 10: io.Outcome.CUT, 1: io.Outcome.CALLED_OFF,
+                   9: io.Outcome.NOT_SENT}
+REPEATABILITY_BY_EFFECT = {"free": io.Repeatability.FREE, "guarded": io.Repeatability.GUARDED,
+                           "single_shot": io.Repeatability.SINGLE}
+SCOPE_BY_GROUP = {"all": io.RepeatScope.ALL, "zone": io.RepeatScope.ZONE, "cell": io.RepeatScope.EXCHANGE}
+# By the code of the reason. PROCESSOR_FULL is not listed, as its code contains a wait, see read_event.
+CAUSE_BY_REASON = {1: io.Cause.NO_CIRCUIT, 2: io.Cause.CRANKBACK, 18: io.Cause.CRANKBACK_FULL,
+                   4: io.Cause.LINES_BUSY}
 EMPTY_LOAD = io.Load()
 
 
@@ -61,7 +69,7 @@
     classes = []
     for index, raw in enumerate(optional_list(env, "services")):
         effect, scope = raw.get("effect") or "free", raw.get("group") or "all"
-        if effect not in EFFECTS or scope not in SCOPES:
+        if effect not in REPEATABILITY_BY_EFFECT or scope not in SCOPE_BY_GROUP:
             raise WireError(f"services[{index}]: unknown effect {effect!r} or group {scope!r}")
         classes.append(io.ServiceClass(
             aim_us=int(require_field(raw, "onTimeUs", int, float)),
@@ -69,7 +77,7 @@
             worth=optional_number(raw, "gain", 1.0), late_worth=optional_number(raw, "lateWorth", 0.0),
             width=widths[index] if index < len(widths) else 1.0,
             hold_us=int(holding_times[index]) if index < len(holding_times) else 0,
-            repeatability=EFFECTS[effect], repeat_scope=SCOPES[scope],
+            repeatability=REPEATABILITY_BY_EFFECT[effect], repeat_scope=SCOPE_BY_GROUP[scope],
             repeat_window_us=int(optional_number(raw, "repeatWindowUs", 0)),
             pools=tuple(int(p) for p in (pools[index] or ())) if index < len(pools) else ()))
     tenants = tuple(io.Tenant(optional_number(raw, "fraction", 0.0), optional_number(raw, "quotaPerS", 0.0))
@@ -115,7 +123,7 @@
             exchange=require_field(item, "switch", str), number=int(require_field(item, "nodeNo", int, float)),
             zone=int(optional_number(item, "campus", -1)), kind=int(optional_number(item, "generationHw", 0)),
             readiness=io.Readiness(readiness), weight=optional_number(item, "heft", 1.0),
-            started_us=int(optional_number(item, "launchedUs", 0)) or None))
+            started_us=int(optional_number(item, "launchedUs", 0)) or None))  # 0: unknown
     return tuple(entries)
 
 
@@ -138,7 +146,7 @@
 
 
 def read_event(message: dict[str, Any]) -> io.Event:
-    """Translate one message to a running instance, other than roster lists; raise a WireError if malformed."""
+    """Translate a message that is an event, except for rosters; raise a WireError if it is malformed."""
     cmd = message.get("cmd")
     if cmd == "NEW_REQUEST":
         return io.CallOffered(
@@ -154,13 +162,13 @@
                              require_field(message, "switch", str), int(optional_number(message, "latencyUs", 0)))
     if cmd == "COMPLETED":
         code, reason = require_field(message, "outcome", int), int(optional_number(message, "why", 0))
-        if code not in OUTCOMES:
+        if code not in OUTCOME_BY_CODE:
             raise WireError(f"COMPLETED: field outcome has the unknown value {code}")
-        cause, wait_ms = CAUSES.get(reason, io.Cause.NONE), 0
-        if reason & 15 == 3 and reason > 0:  # the higher bits are the wait in milliseconds
+        cause, wait_ms = CAUSE_BY_REASON.get(reason, io.Cause.NONE), 0
+        if reason & 15 == 3 and reason > 0:  # processor full: the bits above the lowest four are its wait in ms
             cause, wait_ms = io.Cause.PROCESSOR_FULL, reason >> 4
         return io.AttemptEnded(require_field(message, "call", str), require_field(message, "go", int),
-                               require_field(message, "switch", str), OUTCOMES[code],
+                               require_field(message, "switch", str), OUTCOME_BY_CODE[code],
                                int(optional_number(message, "latencyUs", 0)), bool(message.get("settled")), cause,
                                wait_ms * 1000, read_load(message.get("healthInfo")))
     if cmd == "LAPSED":
@@ -205,7 +213,7 @@
 
 
 class Host:
-    """The controllers of one process. As the wire format has it, they share only the numbered roster lists."""
+    """The controllers of one process. They share only the roster lists, which messages name by page number."""
 
     def __init__(self, report_error: Callable[[str], None]) -> None:
         """Start without instances; report_error is called with one line for each malformed message."""
@@ -216,11 +224,11 @@
     def handle(self, batch: dict[str, Any]) -> dict[str, Any]:
         """Return the reply to one batch; raise a WireError if the batch itself is malformed.
 
-        After a malformed message the rest of the batch is skipped for its instance only.
+        A malformed message is answered with PANIC, and the rest of the batch is skipped for its instance only.
         """
         n, now_us = require_field(batch, "n", int), require_field(batch, "atTimeUs", int)
         replies: dict[int, list[dict[str, Any]]] = {}
-        failed: set[int] = set()
+        failed_proxies: set[int] = set()
         for group in optional_list(batch, "groups"):
             if not isinstance(group, dict):
                 raise WireError("field groups must contain only objects")
@@ -229,7 +237,7 @@
             for message in optional_list(group, "msgs"):
                 if not isinstance(message, dict):
                     raise WireError("field msgs must contain only objects")
-                if proxy in failed:  # after its PANIC only the shared lists are read
+                if proxy in failed_proxies:  # roster lists are still read, as other instances use them too
                     if message.get("cmd") == "POOL":
                         self.pages[require_field(message, "page", int)] = read_entries(
                             optional_list(message, "members"))
@@ -239,11 +247,11 @@
                 except WireError as error:
                     self.report_error(f"batch {n}, proxy {proxy}: {error}")
                     actions.append({"cmd": "PANIC", "bodyText": str(error)})
-                    failed.add(proxy)
+                    failed_proxies.add(proxy)
         return {"n": n, "groups": [{"proxy": p, "actions": written} for p, written in replies.items() if written]}
 
     def deliver(self, now_us: int, proxy: int, message: dict[str, Any]) -> list[io.Action]:
-        """Pass one message to its instance and return the instance's actions."""
+        """Process one message and return the actions of its instance; none if the instance does not exist."""
         cmd = message.get("cmd")
         if cmd == "POOL":
             self.pages[require_field(message, "page", int)] = read_entries(optional_list(message, "members"))
@@ -265,7 +273,7 @@
             entries: tuple[io.Entry, ...] = ()
             if kind is not io.RosterKind.UNAVAILABLE:
                 page = require_field(message, "page", int)
-                if page not in self.pages:  # without its list the message has no content
+                if page not in self.pages:  # reported and ignored: without its list the message says nothing
                     self.report_error(f"proxy {proxy}: MEMBERS: field page names the unknown list {page}")
                     return []
                 entries = self.pages[page]
