--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A test stage for the controller: settings, a roster, and shorthands for events."""
+"""Test settings, rosters, and a harness that passes events to a controller."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
     return tuple(replace(io.Entry(f"x{n}", n, 0), **changes) for n in numbers)  # type: ignore[arg-type]
 
 
-class Stage:
+class ControllerHarness:
     """A controller with a clock. The exchanges are named x0, x1, ...; x0 is the own one."""
 
-    def __init__(self, stage_settings: io.Settings = SETTINGS, exchanges: int = 4, seed: int = 7) -> None:
+    def __init__(self, harness_settings: io.Settings = SETTINGS, exchanges: int = 4, seed: int = 7) -> None:
         self.now = 1000 * SECOND
-        self.settings = stage_settings
-        self.controller = Controller(stage_settings, seed)
-        self.calls = 0
+        self.settings = harness_settings
+        self.controller = Controller(harness_settings, seed)
+        self.offer_count = 0
         self.handle(io.RosterChange(io.RosterKind.RESTORED, entries(range(exchanges))))
 
     def handle(self, event: io.Event) -> list[io.Action]:
@@ -51,9 +51,9 @@
 
     def offer(self, dest: int, **fields: object) -> tuple[str, list[io.Action]]:
         """Offer a fresh call to dest; return its id and the actions."""
-        self.calls += 1
-        name = f"call-{self.calls}"
-        offer = io.CallOffered(name, 0, dest, f"line-{self.calls}", self.now + 3 * SECOND)
+        self.offer_count += 1
+        name = f"call-{self.offer_count}"
+        offer = io.CallOffered(name, 0, dest, f"line-{self.offer_count}", self.now + 3 * SECOND)
         return name, self.handle(replace(offer, **fields))  # type: ignore[arg-type]
 
     def set_free(self, number: int, circuits: float) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -27,6 +27,7 @@
 POSSIBLY_EXECUTED = {*NEEDS_RELEASE, io.Outcome.NUMBER_FAULT}
 COLD_US, EXCHANGES = 10 * SECOND, 5
 
+# A step is a name, two numbers that choose its details and its call or exchange, and a time in microseconds.
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(["offer", "offer", "offer", "answer", "end", "end", "free", "roster", "gone", "wait",
@@ -129,26 +130,26 @@
     ordinary = io.ServiceClass(ORDINARY.aim_us, ORDINARY.deadline_us, 1.0, hold_us=SECOND, repeatability=repeatability)
     world = World(settings(classes=(ordinary, URGENT), controllers=EXCHANGES, max_attempts=3,
                            cold_us=COLD_US))
-    for index, (step, a, b, us) in enumerate(steps):
+    for index, (step, variant, choice, us) in enumerate(steps):
         if step == "offer":
             name = f"c{index}"
-            offer = io.CallOffered(name, a % 2, 1 + b % (EXCHANGES - 1), f"n{b % 3}", world.now + 1 + us,
-                                   width=1.0 + b % 2, transit=a > 8)
+            offer = io.CallOffered(name, variant % 2, 1 + choice % (EXCHANGES - 1), f"n{choice % 3}",
+                                   world.now + 1 + us, width=1.0 + choice % 2, transit=variant > 8)
             world.open_calls[name] = offer
             world.handle(offer)
         elif step == "answer" and world.pending:
-            call = sorted(world.pending)[b % len(world.pending)]
+            call = sorted(world.pending)[choice % len(world.pending)]
             if call not in world.established and call in world.open_calls:
                 world.established.add(call)
                 world.handle(io.CallStands(call, world.pending[call][0], world.pending[call][1], us))
         elif step == "end" and world.pending:
-            world.end_attempt(sorted(world.pending)[b % len(world.pending)], *OUTCOMES[a])
+            world.end_attempt(sorted(world.pending)[choice % len(world.pending)], *OUTCOMES[variant])
         elif step == "free":
-            world.handle(io.GroupStatus(f"x{b % EXCHANGES}", True, 0, io.Load(free=float(a - 2), size=10.0)))
+            world.handle(io.GroupStatus(f"x{choice % EXCHANGES}", True, 0, io.Load(free=float(variant - 2), size=10.0)))
         elif step == "roster":
-            exchange = f"x{1 + b % (EXCHANGES - 1)}"
-            readiness = list(io.Readiness)[a % 3]
-            started = world.now if a > 5 and readiness is io.Readiness.READY else None
+            exchange = f"x{1 + choice % (EXCHANGES - 1)}"
+            readiness = list(io.Readiness)[variant % 3]
+            started = world.now if variant > 5 and readiness is io.Readiness.READY else None
             if readiness is io.Readiness.READY:
                 world.ready.add(exchange)
                 world.started.pop(exchange, None)
@@ -160,7 +161,7 @@
             world.handle(io.RosterChange(io.RosterKind.UPDATE, entries(
                 [int(exchange[1:])], readiness=readiness, started_us=started)))
         elif step == "gone" and world.open_calls:
-            call = sorted(world.open_calls)[b % len(world.open_calls)]
+            call = sorted(world.open_calls)[choice % len(world.open_calls)]
             if call not in world.established:
                 del world.open_calls[call]
                 world.handle(io.CallerGone(call))
@@ -169,9 +170,9 @@
         elif step == "stray":
             world.handle(io.CallerGone("never"))
             world.handle(io.TimerDue("never"))
-            world.handle(io.CallStands("never", a, "x9", us))
-            world.handle(io.AttemptEnded("never", a, "x9", OUTCOMES[a][0], us, False, OUTCOMES[a][1]))
-            world.handle(io.PeerMessage(b, b"\xff\x00"))
+            world.handle(io.CallStands("never", variant, "x9", us))
+            world.handle(io.AttemptEnded("never", variant, "x9", OUTCOMES[variant][0], us, False, OUTCOMES[variant][1]))
+            world.handle(io.PeerMessage(choice, b"\xff\x00"))
             world.handle(io.GroupStatus("x9", False, us, io.Load()))
             world.handle(io.RosterChange(io.RosterKind.UNAVAILABLE))
     world.pass_time(10 * SECOND)
@@ -197,12 +198,12 @@
     for _ in range(2):
         controller, log = Controller(settings(), 11), []
         controller.handle(0, io.RosterChange(io.RosterKind.RESTORED, entries(range(6))))
-        for index, (step, _, b, us) in enumerate(steps):
+        for index, (step, _, choice, us) in enumerate(steps):
             event: io.Event = io.TimerDue("period")
             if step == "offer":
-                event = io.CallOffered(f"c{index}", 0, 1 + b % 5, "n", index * 10**6 + us)
+                event = io.CallOffered(f"c{index}", 0, 1 + choice % 5, "n", index * 10**6 + us)
             elif step == "free":
-                event = io.GroupStatus(f"x{b % 6}", True, 0, io.Load(free=0.0))
+                event = io.GroupStatus(f"x{choice % 6}", True, 0, io.Load(free=0.0))
             log.append(controller.handle(index * 300_000, event))
         runs.append(log)
     assert runs[0] == runs[1]
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,6 +1,6 @@
 """The adapter: the translation of every message, malformed input, and a call through the real process."""
 
-import io as text
+import io as stdlib_io
 import json
 import subprocess
 import sys
@@ -13,6 +13,7 @@
 from ospreylug import wirehost
 
 ROOT = Path(__file__).parent.parent
+# It contains fields that the adapter does not read, such as areas, kinds, givesWait and news.
 ENV: dict[str, Any] = {
     "areas": ["here"], "discovery": "pushed", "fleetSize": 3, "kinds": ["k"], "myNumber": 0, "orgs": [
         {"name": "t", "fraction": 0.5, "quotaPerS": 12.0}], "overShareWorth": 0.1, "tickUs": 5000, "zone": 0,
@@ -132,8 +133,8 @@
 
 def run(*batches: dict[str, Any] | str) -> tuple[int, list[dict[str, Any]], str]:
     lines = "".join((b if isinstance(b, str) else json.dumps(b)) + "\n" for b in batches)
-    out, err = text.StringIO(), text.StringIO()
-    code = wirehost.serve(text.StringIO(lines), out, err)
+    out, err = stdlib_io.StringIO(), stdlib_io.StringIO()
+    code = wirehost.serve(stdlib_io.StringIO(lines), out, err)
     return code, [json.loads(line) for line in out.getvalue().splitlines()], err.getvalue()
 
 
