--- a/ospreylug/interface.py
+++ b/ospreylug/interface.py
@@ -192,7 +192,7 @@
     """The roster has changed, or could not be obtained."""
 
     kind: RosterKind
-    entries: tuple[Entry, ...] = ()  # as the kind says
+    entries: tuple[Entry, ...] = ()  # none if the kind is UNAVAILABLE
 
 
 @dataclass(frozen=True, slots=True)
@@ -242,7 +242,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """The caller has given up, or the answer to it is overdue."""
+    """The caller has given up, or was refused without the controller, whose answer was overdue."""
 
     call: str
 
--- a/ospreylug/logic.py
+++ b/ospreylug/logic.py
@@ -1,7 +1,6 @@
 """Decides how calls are routed. The events, actions and settings are defined in ospreylug/interface.py.
 
-In this order: constants, the state and load grade of a remote exchange, a call, the controller. The grades
-follow Huang, Chen and Hung, "A QoS-Aware Transcoding Proxy Using On-demand Data Broadcasting", section IV-B.
+Grades follow Huang, Chen and Hung, "A QoS-Aware Transcoding Proxy Using On-demand Data Broadcasting".
 """
 
 from __future__ import annotations
@@ -612,6 +611,7 @@
         self.tandem_backoffs.pop((call.next_hop.entry.number, call.offer.dest), None)
 
     def _on_attempt_ended(self, event: io.AttemptEnded) -> None:
+        """Record what the attempt tells about the exchange; then forget, retry or refuse the call."""
         self._update_circuits(self.exchanges.get(event.exchange), event.load)
         call = self.calls.get(event.call)
         if event.exchange in self.exchanges:
