--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -234,7 +234,9 @@
             await until(lambda: "settled" in service.stands(VersionId(1, 1)))
             service.publish(VersionId(1, 2), make_plan(Prefix("5", 2)))
             await until(lambda: "settled" in service.stands(VersionId(1, 2)))
-            await until(lambda: b'"number":2' in (tmp_path / "current").read_bytes())
+            # The report is sent before the store's thread has written the pointer file.
+            pointer = tmp_path / "current"
+            await until(lambda: pointer.exists() and b'"number":2' in pointer.read_bytes())
             router.process.kill()  # without a shutdown
             await router.process.wait()
         address = service.address
