--- a/astertrack/app.py
+++ b/astertrack/app.py
@@ -154,8 +154,8 @@
         if waiting or self.router.count_unanswered():
             self.clock.call_at(self.clock.now_us() + STOP_CHECK_INTERVAL_US, self._finish)
         elif self.reactor.running:
-            for session in list(self.api_front.sessions) if self.api_front is not None else ():
-                session.close_going_away()
+            for client in list(self.api_front.connections) if self.api_front is not None else ():
+                client.close_going_away()
             for connection in list(self.sip_front.connections):
                 connection.close()
             self.clock.call_at(self.clock.now_us() + STORE_CLOSE_TIMEOUT_US, self._abandon_store)
--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -27,19 +27,19 @@
 
     def __init__(self, link: ApiLink) -> None:
         self.link = link
-        self.machine = ws.WebSocket(ws.Role.CLIENT, link.path, link.address)
+        self.websocket = ws.WebSocket(ws.Role.CLIENT, link.path, link.address)
 
     def connectionMade(self) -> None:
         """Called by Twisted when the connection is established; the socket is open after the handshake."""
         super().connectionMade()
-        self.machine.connect()
-        self.write(self.machine.take_output())
+        self.websocket.connect()
+        self.write(self.websocket.take_output())
         clock = self.link.clock
         clock.call_at(clock.now_us() + self.link.dial_timeout_us, self._on_handshake_timeout)
 
     def _on_handshake_timeout(self) -> None:
-        """Abort an incomplete handshake: while a server never completes it, nothing would dial again."""
-        if self.machine.state is ws.State.CONNECTING:
+        """Abort a handshake that is not complete in time: the link does not redial while it waits for one."""
+        if self.websocket.state is ws.State.CONNECTING:
             self.abort()
 
     def dataReceived(self, data: bytes) -> None:
@@ -47,14 +47,14 @@
         if self.is_closed:
             return
         self.link.record_activity()
-        for event in self.machine.receive(data):
+        for event in self.websocket.receive(data):
             match event:
                 case ws.Opened():
                     self.link.on_connected(self)
                 case ws.Text(raw):
                     self._on_text(raw)
                 case ws.Closed():
-                    self.write(self.machine.take_output())
+                    self.write(self.websocket.take_output())
                     self.close()
                     self.link.mark_ended(self)
                 case Malformed(reason):
@@ -63,7 +63,7 @@
                     self.link.abort_connection(self)
             if self.is_closed:
                 return
-        self.write(self.machine.take_output())
+        self.write(self.websocket.take_output())
 
     def _on_text(self, raw: str) -> None:
         try:
@@ -78,13 +78,13 @@
 
     def ping(self) -> None:
         """Send a ping."""
-        self.machine.ping()
-        self.write(self.machine.take_output())
+        self.websocket.ping()
+        self.write(self.websocket.take_output())
 
     def send_message(self, message: api.Message) -> None:
         """Send a message."""
-        self.machine.send(api.encode_message(message))
-        self.write(self.machine.take_output())
+        self.websocket.send(api.encode_message(message))
+        self.write(self.websocket.take_output())
 
 
 @dataclass(eq=False)
@@ -92,8 +92,8 @@
     """The link to one destination."""
 
     path: str = "/calls"
-    # Such a set-up is not tried again at the same destination: servers of the API remember the id of a cancelled
-    # set-up, and never set it up a second time.
+    # With this outcome a set-up is not tried again at the same destination: servers of the API remember the id of a
+    # cancelled set-up, and never set it up a second time.
     connection_lost_outcome: io.Outcome = io.Outcome.NUMBER_FAULT
 
     def build_connection(self) -> ApiConnection:
@@ -112,10 +112,10 @@
         self._send_message(api.SetUp(
             request.call_id, request.service_name, request.number, request.dest, deadline_us // 1000,
             request.description.decode("utf-8", "replace"),
-            request.width, request.dest != self.number(), again=request.cut_before))
+            request.width, request.dest != self.exchange_number(), again=request.cut_before))
 
-    def number(self) -> int:
-        """Return the number of the destination's exchange; a call for another exchange is in transit there."""
+    def exchange_number(self) -> int:
+        """Return the number of the destination's exchange, or -1. A call for another exchange is in transit there."""
         entry = self.router.roster.get(self.name)
         return entry.number if entry is not None else -1
 
@@ -124,7 +124,10 @@
         self._send_message(api.Release(call, cause) if answered else api.Cancel(call))
 
     def probe(self) -> None:
-        """Ping the destination, and report a result at once: a ping says nothing about the load of its processor."""
+        """Ping the destination, and report whether it is connected without waiting for the pong.
+
+        A pong says nothing about the load of its processor.
+        """
         is_connected = self.connection is not None
         if isinstance(self.connection, ApiConnection):
             self.connection.ping()
--- a/astertrack/net/base.py
+++ b/astertrack/net/base.py
@@ -14,11 +14,14 @@
 class StreamProtocol(Protocol):
     """A connection that can be written to and closed at any time, whether it is established or not."""
 
-    write_blocked_since_us: int | None = None  # while the other end does not read
+    write_blocked_since_us: int | None = None  # since when the other end has not read; None while it reads
     is_closed = False  # dropped or ended: whatever still arrives on it is ignored
 
     def connectionMade(self) -> None:
-        """Called by Twisted when the connection is established. Messages are small and must not be delayed."""
+        """Called by Twisted when the connection is established.
+
+        Disables Nagle's algorithm: messages are small and must not be delayed.
+        """
         transport: Any = self.transport
         transport.setTcpNoDelay(True)
 
@@ -71,6 +74,6 @@
         """Called by Twisted when the connection has ended."""
 
 
-def failed_as(reason: Failure, exception_type: type[Exception]) -> bool:
+def is_failure_of_type(reason: Failure, exception_type: type[Exception]) -> bool:
     """Return whether a connection, or an attempt to connect, ended with an exception of this type."""
     return isinstance(reason.value, exception_type)
--- a/astertrack/net/bulletin.py
+++ b/astertrack/net/bulletin.py
@@ -1,4 +1,4 @@
-"""The bulletin: parses the events known at the start, and reads later ones as server-sent events."""
+"""The bulletin, which announces changes of the roster: parses its events, and reads them as server-sent events."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from ospreylug import interface as io
 
 log = structlog.get_logger()
-# The bulletin sends a comment every second. A router is expected to know an event at most 4 s after a connection
-# stopped delivering; a timeout of 3.5 s together with a dial took longer.
+# The bulletin sends a comment every second. If a connection stops delivering, a router is expected to know the next
+# event within 4 s; with a timeout of 3.5 s, to which a dial is added, it took longer.
 UNRESPONSIVE_TIMEOUT_US = 2_200_000
 REDIAL_INTERVAL_US = 200_000
 DIAL_TIMEOUT_US = 1_000_000
@@ -31,9 +31,9 @@
 
 
 def read_event(raw: Any, zones: list[str], kinds: list[str]) -> tuple[int, bool, list[Endpoint]]:
-    """Parse a decoded event: return its number, whether its list of peers is complete, and the list.
+    """Parse an event decoded from JSON: return its number, whether its list of peers is complete, and the list.
 
-    Raises MalformedError.
+    Events are numbered in ascending order. Raises MalformedError.
     """
     try:
         roster = raw["roster"]
@@ -59,8 +59,8 @@
 
     def __init__(self, bulletin: Bulletin) -> None:
         self.bulletin = bulletin
-        self.machine = sse.EventDecoder()
-        self.is_closed = False  # replaced by another connection: what still arrives on it, or its end, is ignored
+        self.decoder = sse.EventDecoder()
+        self.is_closed = False  # dropped or ended: what still arrives on it, or its end, is ignored
 
     def connectionMade(self) -> None:
         """Called by Twisted when the connection is established: request what follows the last received event."""
@@ -73,7 +73,7 @@
         if self.is_closed:
             return
         self.bulletin.restart_unresponsive_timer()
-        for event in self.machine.receive(data):
+        for event in self.decoder.receive(data):
             if isinstance(event, Malformed):
                 self.bulletin.counts["bulletin_malformed"] += 1
                 log.warning("malformed data from the bulletin", reason=event.reason)
@@ -81,7 +81,7 @@
                 self.bulletin.on_event(event)
             if self.is_closed:
                 return
-        if self.machine.is_ended:
+        if self.decoder.is_ended:
             self.drop()
 
     def drop(self) -> None:
@@ -100,7 +100,10 @@
 
 
 class Bulletin(ClientFactory):
-    """Keeps reading the bulletin, and passes on changes of the roster."""
+    """Keeps reading the bulletin, and passes on changes of the roster.
+
+    on_change is called with each new event: whether its list of peers is complete, and the list.
+    """
 
     noisy = False
 
--- a/astertrack/net/callers.py
+++ b/astertrack/net/callers.py
@@ -1,6 +1,6 @@
 """The SIP front of the platform: callers that connect over TCP.
 
-Translates between astertrack.wire.sip and the core, and takes no decisions.
+Translates between astertrack.wire.sip and the core, and manages the connections; it makes no routing decisions.
 """
 
 from __future__ import annotations
@@ -26,28 +26,29 @@
 # SIP response codes (RFC 3261, section 21).
 SERVICE_UNAVAILABLE, SERVER_INTERNAL_ERROR, REQUEST_TERMINATED, BAD_REQUEST = 503, 500, 487, 400
 READ_BUFFER_BYTES = 4096  # read from one connection per reactor iteration: about ten set-ups
-SWEEP_INTERVAL_US = 250_000  # between checks of the connections and the unconfirmed releases
-# A connection without a complete message for this long is closed: callers must get an answer or the close within 3 s.
+SWEEP_INTERVAL_US = 250_000  # between checks of the connections and the pending releases
+# A connection whose first message, or the message it has begun, is not complete after this time is closed: callers must
+# get an answer or the close within 3 s.
 MESSAGE_TIMEOUT_US = 2_400_000
-IDLE_TIMEOUT_US = 5_000_000  # for connections without an open set-up; callers themselves close theirs after 4 s
+IDLE_TIMEOUT_US = 5_000_000  # for connections without a pending set-up; callers themselves close theirs after 4 s
 WRITE_BLOCKED_TIMEOUT_US = 2_000_000  # for connections whose caller does not read what it is sent
-CLOSE_TIMEOUT_US = 500_000  # for a connection that is being closed to send the rest of its write buffer
+CLOSE_TIMEOUT_US = 500_000  # a connection that is being closed has this time to send the rest of its write buffer
 MIN_EVICTION_IDLE_US = 100_000  # a connection that was active more recently is not closed to make room for another
 MAX_EVICTION_CANDIDATES = 32  # examined per eviction: examining all connections would take too long when there are many
 RELEASE_RESPONSE_TIMEOUT_US = 350_000  # an unconfirmed release is then sent again on another connection
 MAX_RELEASE_ATTEMPTS = 3
 MAX_WIDTH = 64.0  # circuits
-MAX_DEADLINE_RATIO = 2  # of the longest accepted deadline of a set-up to the deadline of its class
+MAX_DEADLINE_RATIO = 2  # a set-up whose deadline is more than this multiple of its class's deadline is invalid
 
 
 @dataclass(slots=True)
 class PendingRelease:
-    """A release that is not confirmed by a caller yet."""
+    """A release that no caller has confirmed yet."""
 
     cause: int
     requested_us: int
     sent_us: int = 0
-    tried: list[CallerConnection] = field(default_factory=list)
+    tried_connections: list[CallerConnection] = field(default_factory=list)  # on which it was sent
 
 
 class CallerFront(Factory):
@@ -80,7 +81,7 @@
         """
         now = self.clock.now_us()
         idle = takewhile(lambda c: now - c.idle_since_us > MIN_EVICTION_IDLE_US, self.connections)
-        candidates = list(islice((c for c in idle if not c.machine.pending_invites and not c.has_unread_bytes()),
+        candidates = list(islice((c for c in idle if not c.sip_connection.pending_invites and not c.has_unread_bytes()),
                                  MAX_EVICTION_CANDIDATES))
         if not candidates:
             return False
@@ -108,24 +109,27 @@
                       any_connection: bool = False) -> None:
         """Send a release on the preferred connection or the most recently active one on which calls were answered.
 
-        A release that is sent to a caller that connects but neither makes calls nor reads is lost.
+        A caller that connects but neither makes calls nor reads would never receive it. With any_connection, one
+        without answered calls will do.
         """
         def is_candidate(c: CallerConnection) -> bool:
-            return c.is_writable() and c not in release.tried and (c.has_answered_call or any_connection)
+            return c.is_writable() and c not in release.tried_connections and (c.has_answered_call or any_connection)
 
         if preferred is None or preferred not in self.connections or not is_candidate(preferred):
             preferred = next((c for c in reversed(self.connections) if is_candidate(c)), None)
         if preferred is None:
             return  # the next sweep tries again
-        release.tried.append(preferred)
+        release.tried_connections.append(preferred)
         release.sent_us = self.clock.now_us()
         preferred.release(call, release.cause)
 
     def _check_release(self, call: str, release: PendingRelease, now_us: int) -> None:
-        if not release.tried:
+        if not release.tried_connections:
+            # It was not sent, for want of a connection with answered calls: from the next sweep on any will do.
             self._send_release(call, release, any_connection=now_us - release.requested_us >= SWEEP_INTERVAL_US)
-        elif not self.counts["sip_releases_heard"] or len(release.tried) >= MAX_RELEASE_ATTEMPTS:
-            del self.pending_releases[call]  # callers are not obliged to confirm a release
+        elif not self.counts["sip_releases_heard"] or len(release.tried_connections) >= MAX_RELEASE_ATTEMPTS:
+            # Callers are not obliged to confirm a release: while none ever has, repeating one is of no use.
+            del self.pending_releases[call]
         elif now_us - release.sent_us > RELEASE_RESPONSE_TIMEOUT_US:
             self.counts["sip_releases_repeated"] += 1
             self._send_release(call, release)
@@ -136,7 +140,7 @@
 
     def __init__(self, front: CallerFront) -> None:
         self.front, self.router, self.counts = front, front.router, front.counts
-        self.machine = sip.ServerConnection()
+        self.sip_connection = sip.ServerConnection()
         self.idle_since_us = front.clock.now_us()  # since when no message was completed or sent
         self.partial_since_us: int | None = None  # while a message is incomplete
         self.closing_since_us: int | None = None
@@ -166,7 +170,7 @@
             return False
 
     def evict(self) -> None:
-        """Close the connection and treat it as ended from now on: many may arrive before its end is noticed."""
+        """Close the connection and treat it as ended from now on: new ones may arrive before its end is noticed."""
         self.front.connections.pop(self, None)
         self.closing_since_us = self.front.clock.now_us()
         if self.write_blocked_since_us is None:
@@ -182,14 +186,14 @@
         return self.closing_since_us is None and self.write_blocked_since_us is None
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Called by Twisted when the connection has ended: the caller has cancelled its open set-ups by closing it.
+        """Called by Twisted when the connection has ended, which cancels the set-ups that are pending on it.
 
         Established calls go on.
         """
         self.front.connections.pop(self, None)
         self.front.open_descriptors -= 1
-        for call in list(self.machine.pending_invites):
-            del self.machine.pending_invites[call]
+        for call in list(self.sip_connection.pending_invites):
+            del self.sip_connection.pending_invites[call]
             self.router.cancel(call)
 
     def check_timeouts(self, now_us: int) -> None:
@@ -205,17 +209,17 @@
             self._refuse_and_close("sip_closed_silent")
         elif self.partial_since_us is not None and now_us - self.partial_since_us > MESSAGE_TIMEOUT_US:
             self._refuse_and_close("sip_closed_half_sent")
-        elif (not self.machine.pending_invites and now_us - self.idle_since_us > IDLE_TIMEOUT_US
+        elif (not self.sip_connection.pending_invites and now_us - self.idle_since_us > IDLE_TIMEOUT_US
                 and not self.has_unread_bytes()):
             self._refuse_and_close("sip_closed_idle")
 
     def _refuse_and_close(self, counter: str) -> None:
-        """Refuse the open set-ups and close, waiting only briefly until the responses are sent."""
+        """Refuse the pending set-ups and close, waiting at most CLOSE_TIMEOUT_US until the responses are sent."""
         self.counts[counter] += 1
         self.closing_since_us = self.front.clock.now_us()
-        for call in list(self.machine.pending_invites):
+        for call in list(self.sip_connection.pending_invites):
             self.router.cancel(call)
-            self.machine.refuse(call, SERVICE_UNAVAILABLE)
+            self.sip_connection.reject(call, SERVICE_UNAVAILABLE)
         self._flush()
         self.close()
 
@@ -223,11 +227,11 @@
         """Called by Twisted when bytes were received."""
         if self.closing_since_us is not None:
             return
-        messages_before = self.machine.message_count
-        events = self.machine.receive(data)
-        message_completed = self.machine.message_count > messages_before
+        messages_before = self.sip_connection.message_count
+        events = self.sip_connection.receive(data)
+        message_completed = self.sip_connection.message_count > messages_before
         now = self.front.clock.now_us()
-        if not self.machine.has_partial_message:
+        if not self.sip_connection.has_partial_message:
             self.partial_since_us = None
         elif message_completed or self.partial_since_us is None:
             self.partial_since_us = now
@@ -240,9 +244,9 @@
                     self._on_set_up(event)
                 case sip.CallCancelled(call):
                     self.counts["sip_given_up"] += 1
-                    if call in self.machine.pending_invites:
+                    if call in self.sip_connection.pending_invites:
                         self.router.cancel(call)
-                        self.machine.refuse(call, REQUEST_TERMINATED)
+                        self.sip_connection.reject(call, REQUEST_TERMINATED)
                 case sip.CallReleased(call, cause):
                     self.counts["sip_hung_up"] += 1
                     self.router.release_call(call, cause)
@@ -258,17 +262,17 @@
 
     def _on_set_up(self, event: sip.SetUp) -> None:
         self.counts["sip_set_ups"] += 1
-        service = self.front.classes.get(event.tier, -1)
+        service = self.front.classes.get(event.class_name, -1)
         request = self._make_request(event, service) if service >= 0 else None
         if request is None:
             self.counts["sip_unplaceable"] += 1
             log.warning("set-up of an unknown class or with attributes out of range", call=event.call,
-                        tier=event.tier[:40], wait_ms=event.wait_ms, figures=event.attrs[:80])
+                        tier=event.class_name[:40], wait_ms=event.wait_ms, figures=event.attrs[:80])
             self.on_failed(event.call)
         elif not self.router.offer(request, self):
-            # A call with this id is in progress on another connection; that call and its caller must not be affected.
+            # A call with this id is in progress on another connection. That call and its caller must not be affected.
             log.warning("set-up with the id of a call in progress", call=event.call)
-            self.machine.refuse(event.call, BAD_REQUEST)
+            self.sip_connection.reject(event.call, BAD_REQUEST)
 
     def _make_request(self, event: sip.SetUp, service: int) -> Request | None:
         """Convert a set-up to a request, or return None if an attribute is out of range.
@@ -287,26 +291,26 @@
                 and attrs.get("transit", 0) in (0, 1) and attrs.get("again", 0) in (0, 1)):
             return None
         return Request(
-            event.call, service, event.tier, int(dest), event.number,
+            event.call, service, event.class_name, int(dest), event.number,
             now + min(event.wait_ms * 1000, max_wait_us), event.description, width=width,
             transit=bool(attrs.get("transit")), via=int(via), cut_before=bool(attrs.get("again")))
 
     def on_answered(self, call: str, description: bytes) -> None:
         """Send the answer: the call is established."""
-        if self.machine.answer(call, description):
+        if self.sip_connection.answer(call, description):
             self.has_answered_call = True
             self.counts["sip_answers_sent"] += 1
         self._flush()
 
     def on_refused(self, call: str, wait_us: int) -> None:
         """Refuse a set-up, and tell the caller when to try again."""
-        if self.machine.refuse(call, SERVICE_UNAVAILABLE, -(-wait_us // 1000)):
+        if self.sip_connection.reject(call, SERVICE_UNAVAILABLE, -(-wait_us // 1000)):
             self.counts["sip_refusals_sent"] += 1
         self._flush()
 
     def on_failed(self, call: str) -> None:
         """Report that the call has failed."""
-        if self.machine.refuse(call, SERVER_INTERNAL_ERROR):
+        if self.sip_connection.reject(call, SERVER_INTERNAL_ERROR):
             self.counts["sip_failures_sent"] += 1
         self._flush()
 
@@ -316,16 +320,20 @@
 
     def release(self, call: str, cause: int) -> None:
         """Send a release on this connection."""
-        self.machine.release(call, cause)
+        self.sip_connection.release(call, cause)
         self._flush()
 
     def _mark_active(self, now_us: int) -> None:
+        """Move the connection to the end of the front's connections, which are ordered by their last activity.
+
+        One that was removed, because it is evicted or has ended, is not inserted again.
+        """
         self.idle_since_us = now_us
-        if self.front.connections.pop(self, self) is None:
+        if self.front.connections.pop(self, self) is None:  # it was there: all values are None
             self.front.connections[self] = None
 
     def _flush(self) -> None:
         """Send pending output. This counts as activity: a connection that just got an answer must not be evicted."""
-        if data := self.machine.take_output():
+        if data := self.sip_connection.take_output():
             self._mark_active(self.front.clock.now_us())
             self.write(data)
--- a/astertrack/net/control.py
+++ b/astertrack/net/control.py
@@ -1,6 +1,6 @@
-"""The router's client of the control service: reads versions, checks them between calls, and reports their states.
+"""The router's client of the control service: reads versions, checks them in small steps, and reports their states.
 
-It is thin: astertrack.versions decides what a version means and what has to be done about it.
+It only does the I/O: astertrack.versions decides what a version means and what has to be done about it.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from twisted.python.failure import Failure
 
 from astertrack.core.model import Timer
-from astertrack.net.base import StreamProtocol, failed_as
+from astertrack.net.base import StreamProtocol, is_failure_of_type
 from astertrack.net.clock import ReactorClock
 from astertrack.versions import (
     Action,
@@ -37,8 +37,10 @@
 
 log = structlog.get_logger()
 DIAL_TIMEOUT_US = 1_000_000
-UNRESPONSIVE_TIMEOUT_US = 3_200_000  # a comment arrives every second; three missing ones are no coincidence
-# The interval between dials doubles with each failure; each is drawn at random between half of it and all of it.
+# The service sends a comment every second: a connection on which three of them are missing is taken for dead.
+UNRESPONSIVE_TIMEOUT_US = 3_200_000
+# The interval between dials doubles with each failure, up to the maximum. The actual delay is drawn at random between
+# half the interval and the whole interval.
 MIN_REDIAL_INTERVAL_US, MAX_REDIAL_INTERVAL_US = 200_000, 15_000_000
 # The number of failures is reduced to this once a version was received completely: the next dial is after 0.8 s at the
 # latest.
@@ -48,9 +50,9 @@
 # Checking takes no more than this of one reactor iteration: calls wait at most this long for it.
 CHECK_BUDGET_US = 1_500
 STEPS_PER_CLOCK_READ = 16  # of checking; a step takes about 5 us
-# Bytes read per reactor iteration. The events in them are parsed and hashed at once, in about 2 ms.
+# Bytes read per reactor iteration. The events in them are parsed and hashed in the same iteration, in about 2 ms.
 READ_BUFFER_BYTES = 8 * 1024
-# Reading pauses while more bytes than the first wait to be checked, and resumes below the second.
+# Reading pauses when more bytes than the first limit wait to be checked, and resumes below the second.
 PAUSE_READING_BYTES, RESUME_READING_BYTES = 1 << 20, 1 << 18
 TICK_INTERVAL_US = 100_000  # between ticks, which do the work that depends on time
 
@@ -59,7 +61,7 @@
     """One connection on which versions are received."""
 
     def __init__(self, client: ControlClient) -> None:
-        self.client, self.machine = client, control.VersionStreamDecoder()
+        self.client, self.decoder = client, control.VersionStreamDecoder()
         self.is_paused = False
 
     def connectionMade(self) -> None:
@@ -76,11 +78,11 @@
             return
         start_s = time.perf_counter()
         self.client.restart_unresponsive_timer()
-        for event in self.machine.receive(data):
+        for event in self.decoder.receive(data):
             self.client.on_event(event)
             if self.is_closed:
                 break
-        if self.machine.is_ended and not self.is_closed:
+        if self.decoder.is_ended and not self.is_closed:
             self.drop()
         self.client.record_turn(start_s)
 
@@ -110,7 +112,7 @@
 
     def __init__(self, client: ControlClient, batch: tuple[Report, ...]) -> None:
         self.client, self.batch = client, batch
-        self.reader = http.MessageDecoder(http.MessageKind.RESPONSE)
+        self.decoder = http.MessageDecoder(http.MessageKind.RESPONSE)
 
     def connectionMade(self) -> None:
         """Called by Twisted when the connection is established: send the batch."""
@@ -119,7 +121,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Called by Twisted when bytes were received."""
-        response = self.reader.receive(data)
+        response = self.decoder.receive(data)
         if response is None or self.is_closed:
             return
         self.is_closed = True
@@ -141,7 +143,7 @@
 
 
 class _DialFactory(ClientFactory):
-    """Factory of one connection attempt."""
+    """Factory of one connection attempt, like links.DialFactory, but a refusal is a failure like any other."""
 
     noisy = False
 
@@ -154,18 +156,22 @@
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
         """Called by Twisted when the connection cannot be established; an attempt stopped by this router is ignored."""
-        if not failed_as(reason, UserError):
+        if not is_failure_of_type(reason, UserError):
             self.on_failure()
 
 
 class ControlClient:
-    """Keeps reading versions and reporting their states, until it is stopped."""
+    """Keeps reading versions and reporting their states, until it is stopped.
+
+    address is host:port, or empty for no service; router is this router's name; store is called with each action that
+    concerns the store.
+    """
 
     def __init__(self, address: str, router: str, versions: VersionManager, clock: ReactorClock, counts: Counter[str],
-                 source: random.Random, store: Callable[[StoreVersion | SetCurrentVersion], None]) -> None:
+                 random_source: random.Random, store: Callable[[StoreVersion | SetCurrentVersion], None]) -> None:
         self.address, self.router, self.versions, self.clock, self.counts = address, router, versions, clock, counts
-        self.store, self._random = store, source
-        self.outbox = Outbox(source)
+        self.store, self._random = store, random_source
+        self.outbox = Outbox(random_source)
         self.stream: VersionStream | None = None
         self.longest_turn_us = 0  # of reading and checking: how long a call may have waited for it
         self.swap_durations_us: list[int] = []  # of putting a version in force, the latest 1,000
@@ -217,7 +223,7 @@
         self.clock.call_at(self.clock.now_us() + TICK_INTERVAL_US, self._tick)
 
     def record_turn(self, start_s: float) -> None:
-        """Record how long a piece of work has occupied the reactor."""
+        """Record how long a piece of work has blocked the reactor."""
         self.longest_turn_us = max(self.longest_turn_us, int((time.perf_counter() - start_s) * 1e6))
 
     # ---- the stream
@@ -286,7 +292,7 @@
         self._redial_timer = self.clock.call_at(self.clock.now_us() + delay_us, self.dial)
 
     def on_event(self, event: control.Event) -> None:
-        """Pass an event of the stream to the versions."""
+        """Pass an event of the stream to the version manager."""
         now = self.clock.now_us()
         match event:
             case control.VersionHead(raw):
@@ -295,8 +301,8 @@
                 self.versions.receive_lines(lines)
             case control.VersionEnd():
                 self.versions.receive_end(now)
-                # A stream that delivers versions is worth redialling soon even if it breaks off: with the full backoff,
-                # four breaks in ten seconds kept a router away for eleven.
+                # A stream that delivers versions is worth redialling soon even if it breaks off: with the full backoff
+                # a router whose stream broke off four times in ten seconds was disconnected for eleven seconds.
                 self._failures = min(self._failures, MAX_FAILURES_AFTER_VERSION)
             case Malformed(reason):
                 self.counts["control_malformed"] += 1
@@ -340,7 +346,7 @@
         return True
 
     def execute_actions(self) -> None:
-        """Execute the actions that the versions request."""
+        """Execute the actions that the version manager requests."""
         for action in self.versions.take_actions():
             self._execute(action)
 
@@ -355,7 +361,7 @@
                 self._full_requested = True
                 self.counts["control_asked_full"] += 1
                 if self.stream is not None:
-                    # Not while the stream's own data is being processed; the rest of that data is of no use now.
+                    # Not while the stream's own data is being processed; versions left in that data are of no use now.
                     self.clock.reactor.callLater(0, self.stream.drop)
             case LogEvent(event, values):
                 log.info(event, **dict(values))
--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -1,4 +1,4 @@
-"""The link to one peer: a connection that is kept up while the peer is in service or has calls of this router."""
+"""The link to one peer: a connection that is kept up until the peer leaves the roster."""
 
 from __future__ import annotations
 
@@ -15,26 +15,27 @@
 
 from astertrack.core import NORMAL_CLEARING, TEMPORARY_FAILURE, AttemptEnd, Request, Router
 from astertrack.core.model import Timer
-from astertrack.net.base import StreamProtocol, failed_as
+from astertrack.net.base import StreamProtocol, is_failure_of_type
 from astertrack.net.clock import ReactorClock
 from ospreylug import interface as io
 
 log = structlog.get_logger()
 REDIAL_INTERVAL_US = 250_000  # between dials to a peer that does not answer
-MIN_CONNECTED_US = 100_000  # a connection that ended sooner is not redialled immediately
-# The peer's process counts as gone after this many consecutive refused dials. One refusal can be an accident, as a
-# reset can.
+MIN_CONNECTED_US = 100_000  # after a connection that lasted less than this, REDIAL_INTERVAL_US passes before a dial
+# The peer's process counts as gone after this many consecutive refused dials. A single refused dial, like a reset, does
+# not prove that it has ended.
 REFUSED_DIALS_UNTIL_LOST = 2
 # A probe is sent after this time without received bytes. A healthy peer usually reports its trunk groups more often.
 KEEPALIVE_IDLE_US = 250_000
-# The connection is dropped after this time without received bytes, despite the probe: a new one may work.
+# The connection is dropped after this time without received bytes, that is, if the probe is not answered either: a new
+# connection may work.
 UNRESPONSIVE_TIMEOUT_US = 650_000
 # The established calls at a peer are released after this time without received bytes: a call whose end was not noticed
 # has to be released within 8 s of its end.
 PEER_LOST_TIMEOUT_US = 6_750_000
 LIVENESS_CHECK_INTERVAL_US = 100_000
-# How long the release of a set-up whose connection was lost is worth sending: after 300 ms the set-up may be sent
-# again.
+# The release of a set-up whose connection was lost is sent only within this time: the set-up may be sent again after
+# 300 ms, and a release names only the call, so a later one could release the new attempt.
 PENDING_RELEASE_TIMEOUT_US = 250_000
 
 
@@ -52,8 +53,8 @@
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
         """Called by Twisted when the connection cannot be established."""
-        if not failed_as(reason, UserError):  # UserError: this router stopped the attempt
-            self.on_failure(failed_as(reason, ConnectionRefusedError))
+        if not is_failure_of_type(reason, UserError):  # UserError: this router stopped the attempt
+            self.on_failure(is_failure_of_type(reason, ConnectionRefusedError))
 
 
 @dataclass(eq=False)
@@ -68,10 +69,10 @@
     dial_timeout_us: int
     connection: StreamProtocol | None = None
     retired: bool = False
-    # Set-ups, with their deadlines, that wait for the connection.
+    # Set-ups that wait for the connection, by call id: the request and its deadline in microseconds.
     queued_set_ups: dict[str, tuple[Request, int]] = field(default_factory=dict)
     outstanding_set_ups: set[str] = field(default_factory=set)  # sent on the connection and neither answered nor ended
-    # Releases that wait for the connection: call, cause, whether the call was answered, since when.
+    # Releases that wait for the connection: call id, cause, whether the call was answered, since when in microseconds.
     pending_releases: list[tuple[str, int, bool, int]] = field(default_factory=list)
     connection_lost_outcome: io.Outcome = io.Outcome.CUT  # of set-ups whose connection is lost
     _connector: Any = None
@@ -119,7 +120,8 @@
         """Probe an unresponsive peer, drop its connection and finally release its calls.
 
         A connection can stay open although nothing arrives on it any more. This protects outstanding set-ups, and
-        established calls: their ends go unnoticed, and they still have to be released towards their callers.
+        established calls: their ends go unnoticed, and they still have to be released towards their callers. A new
+        connection gets the full timeout before it is dropped in turn.
         """
         now = self.clock.now_us()
         if self.connection is not None and now - max(self._last_received_us,
@@ -144,7 +146,7 @@
             timeout=self.dial_timeout_us / 1e6)
 
     def is_wanted(self) -> bool:
-        """Return whether the link needs a connection; the ends of established calls arrive on it."""
+        """Return whether the link needs a connection. Until it is retired it does: the ends of calls arrive on it."""
         return not self.retired
 
     def on_connected(self, connection: StreamProtocol) -> None:
@@ -180,27 +182,31 @@
 
     def on_disconnected(self, connection: StreamProtocol, reason: Failure) -> None:
         """Handle the end of a connection, which also ends the set-ups that are outstanding on it."""
-        self.mark_ended(connection, "peer_closes" if failed_as(reason, ConnectionDone) else "peer_resets")
+        self.mark_ended(connection, "peer_closes" if is_failure_of_type(reason, ConnectionDone) else "peer_resets")
 
     def abort_connection(self, connection: StreamProtocol) -> None:
-        """Drop a connection on which corrupt or truncated data arrived: nothing more can be read from it."""
+        """Abort a connection and treat it as ended.
+
+        Used for unresponsive peers, for retired links, and after corrupt or truncated data, because the messages that
+        follow it cannot be found.
+        """
         connection.abort()
         self.mark_ended(connection, "peer_drops")
 
-    def mark_ended(self, connection: StreamProtocol, why: str = "peer_closes") -> None:
+    def mark_ended(self, connection: StreamProtocol, counter: str = "peer_closes") -> None:
         """Treat a connection as ended from now on: its close may be delayed, and no set-up may be sent on it.
 
-        `why` is the counter of this kind of end.
+        `counter` names the counter of this kind of end.
         """
         if connection.is_closed:
             return
         connection.is_closed = True
         if connection is self.connection:
-            self._on_connection_ended(why)
+            self._on_connection_ended(counter)
         elif self.connection is None:  # it ended before it was ready for use
             self.on_dial_failed(refused=False)
 
-    def _on_connection_ended(self, why: str) -> None:
+    def _on_connection_ended(self, counter: str) -> None:
         """End the outstanding set-ups and reconnect. Established calls go on: no connection owns them.
 
         A reset alone does not prove that the peer's process died, so it must not end established calls: if the
@@ -209,11 +215,11 @@
         nobody.
         """
         self.connection = None
-        self.counts[why] += 1
+        self.counts[counter] += 1
         now = self.clock.now_us()
         outstanding, self.outstanding_set_ups = self.outstanding_set_ups, set()
-        if why != "peer_closes":
-            log.warning("connection to a peer ended", peer=self.name, why=why, set_ups=len(outstanding))
+        if counter != "peer_closes":
+            log.warning("connection to a peer ended", peer=self.name, why=counter, set_ups=len(outstanding))
         self.pending_releases += [(call, NORMAL_CLEARING, False, now) for call in outstanding]
         for call in outstanding:
             self.router.on_ended(self.name, call, AttemptEnd(self.connection_lost_outcome))
@@ -247,7 +253,7 @@
             self.router.on_ended(self.name, call, AttemptEnd(io.Outcome.UNREACHABLE))
         if self.connection is not None:
             self.abort_connection(self.connection)
-            self.pending_releases.clear()
+            self.pending_releases.clear()  # the end of the connection added releases of its outstanding set-ups
 
     # ---- calls
 
@@ -273,7 +279,7 @@
         """Cancel a set-up, or release an established call."""
         if self.queued_set_ups.pop(call, None) is not None:
             return
-        answered = call not in self.outstanding_set_ups
+        answered = call not in self.outstanding_set_ups  # a set-up that was sent and not answered is in there
         self.outstanding_set_ups.discard(call)
         if self.connection is not None:
             self.counts["peer_releases_sent"] += 1
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -21,12 +21,14 @@
 from ospreylug.wirehost import read_load
 
 log = structlog.get_logger()
-# A message has at most 16 KiB. One that is incomplete when this timeout expires is taken for truncated.
+# A message that is still incomplete after this time is taken for truncated; messages have at most 16 KiB.
 PARTIAL_MESSAGE_TIMEOUT_US = 300_000
-MAX_LIVENESS_CHECK_DELAY_US = 100_000  # a check of the links that runs later than this is skipped until the next one
+MAX_LIVENESS_CHECK_DELAY_US = 100_000  # a check of the links that runs more than this after its due time is skipped
 PROBE_TIMEOUT_US = 250_000
+# By cause, as in Q.850: 34 no circuit available, 17 user busy, 47 resource unavailable, 102 recovery on timer expiry.
 RELEASE_CAUSE_OUTCOMES = {34: io.Outcome.TURNED_AWAY, 17: io.Outcome.NUMBER_FAULT, 47: io.Outcome.NUMBER_FAULT,
                           102: io.Outcome.NOT_SENT, TEMPORARY_FAILURE: io.Outcome.CUT, NORMAL_CLEARING: io.Outcome.OK}
+# By the note that a release may have besides its cause.
 RELEASE_NOTE_CAUSES = {"congestion": io.Cause.NO_CIRCUIT, "crankback": io.Cause.CRANKBACK,
                        "remote_throttled": io.Cause.CRANKBACK_FULL, "throttled": io.Cause.PROCESSOR_FULL,
                        "engaged": io.Cause.LINES_BUSY}
@@ -47,7 +49,7 @@
 
     def __init__(self, link: PeerLink) -> None:
         self.link = link
-        self.stream = wire.MessageDecoder()
+        self.decoder = wire.MessageDecoder()
         self._partial_timer: Timer | None = None  # runs while a message is incomplete
 
     def connectionMade(self) -> None:
@@ -58,7 +60,7 @@
     def dataReceived(self, data: bytes) -> None:
         """Called by Twisted when bytes were received."""
         self.link.record_activity()
-        for message in self.stream.receive(data) if not self.is_closed else ():
+        for message in self.decoder.receive(data) if not self.is_closed else ():
             try:
                 if isinstance(message, Malformed):
                     raise MalformedError(message.reason)
@@ -85,7 +87,7 @@
         if self._partial_timer is not None:
             self._partial_timer.cancel()
             self._partial_timer = None
-        if self.stream.has_partial_message:
+        if self.decoder.has_partial_message:
             clock = self.link.clock
             self._partial_timer = clock.call_at(clock.now_us() + PARTIAL_MESSAGE_TIMEOUT_US, self._on_partial_timeout)
 
@@ -104,7 +106,7 @@
 class PeerLink(Link):
     """The link to a peer that speaks the platform's binary protocol."""
 
-    # Unanswered probes: when each was sent, and its timeout.
+    # Unanswered probes, by their ids: when each was sent, in microseconds, and the timer of its timeout.
     outstanding_probes: dict[str, tuple[int, Timer]] = field(default_factory=dict)
     _probe_count: int = 0
 
@@ -125,23 +127,24 @@
     def probe(self) -> None:
         """Send a probe, and report its failure to the router if it is not answered in time."""
         self._probe_count += 1
-        call = f"{self._probe_count:016x}"
+        probe_id = f"{self._probe_count:016x}"  # sent in place of a call id
         now = self.clock.now_us()
 
         def on_timeout() -> None:
-            if self.outstanding_probes.pop(call, None) is not None:
+            if self.outstanding_probes.pop(probe_id, None) is not None:
                 self.router.on_group_state(self.name, io.Load(), ok=False, delay_us=self.clock.now_us() - now)
 
-        self.outstanding_probes[call] = (now, self.clock.call_at(now + PROBE_TIMEOUT_US, on_timeout))
+        self.outstanding_probes[probe_id] = (now, self.clock.call_at(now + PROBE_TIMEOUT_US, on_timeout))
         if self.connection is not None:
-            self._write(wire.encode_test(call))
+            self._write(wire.encode_test(probe_id))
 
     def contains_next_message(self, event: wire.Answered) -> bool:
         """Return whether a truncated answer was completed by the message that follows it.
 
         Without this check a caller could receive an answer that no peer gave. Each message begins with the high byte
-        of its length, which is a control character for lengths under 8 KiB, while descriptions are text. If the
-        set-up's own description contains control characters, the answer's may contain them too.
+        of its length, which is a control character for lengths under 8 KiB, while descriptions are text. Lengths whose
+        high byte is a tab, CR or LF are not recognised, because these occur in text. If the set-up's own description
+        contains control characters, the answer's may contain them too.
         """
         call = self.router.calls.get(event.call)
         return (call is not None and CONTROL_CHARACTERS.search(event.description) is not None
@@ -163,8 +166,8 @@
             case wire.GroupState(report):
                 self.counts["peer_group_states"] += 1
                 self.router.on_group_state(self.name, parse_load_report(report))
-            case wire.TestResult(call, passed, report):
-                if (probe := self.outstanding_probes.pop(call, None)) is not None:
+            case wire.TestResult(probe_id, passed, report):
+                if (probe := self.outstanding_probes.pop(probe_id, None)) is not None:
                     probe[1].cancel()
                     self.router.on_group_state(self.name, parse_load_report(report), passed,
                                             self.clock.now_us() - probe[0])
@@ -193,10 +196,9 @@
         self.addresses: dict[str, str] = {}
 
     def _check_liveness(self) -> None:
-        """Check all links, unless the check runs late: then this process may be what was unresponsive.
+        """Check all links, unless the check runs late: then it may be this process that did not respond.
 
-        Without the exception, a pause of this process would drop every connection, because timers run before pending
-        input is read.
+        Otherwise a pause of this process would drop every connection, because timers run before pending input is read.
         """
         now = self.clock.now_us()
         if now - self._next_check_us < MAX_LIVENESS_CHECK_DELAY_US:
@@ -208,7 +210,7 @@
     def update(self, endpoints: list[Endpoint], complete: bool) -> None:
         """Apply a change of the roster; a complete list also removes the peers that it does not name.
 
-        A peer at a new address is a new machine, whose link starts afresh. A peer keeps its name when it restarts.
+        A peer keeps its name when it restarts; at another address it is a new machine, and its link starts afresh.
         """
         listed = {e.entry.exchange for e in endpoints}
         gone = [e.entry.exchange for e in endpoints if e.entry.readiness is io.Readiness.GONE]
@@ -222,7 +224,7 @@
         self.add(endpoints)
 
     def add(self, endpoints: list[Endpoint]) -> None:
-        """Create links to the peers that have none yet."""
+        """Create links to the peers that have none yet, except to the own exchange, whose number is `home`."""
         for endpoint in endpoints:
             name, entry = endpoint.entry.exchange, endpoint.entry
             if entry.readiness is not io.Readiness.GONE and entry.number != self.home and (
--- a/astertrack/net/versionserver.py
+++ b/astertrack/net/versionserver.py
@@ -21,7 +21,7 @@
 from astertrack.wire.common import Malformed
 
 log = structlog.get_logger()
-COMMENT_INTERVAL_US = 1_000_000  # between the comments that keep a stream alive
+KEEP_ALIVE_INTERVAL_US = 1_000_000  # between the comments that show a router that its stream is alive
 REQUEST_TIMEOUT_US = 5_000_000  # a connection without a complete request is then closed
 MAX_CONNECTIONS = 2_000
 
@@ -32,9 +32,9 @@
 
     def __init__(self, service: VersionService) -> None:
         self.service = service
-        self.reader = http.MessageDecoder(http.MessageKind.REQUEST)
+        self.decoder = http.MessageDecoder(http.MessageKind.REQUEST)
         self.stream_request: control.StreamRequest | None = None
-        self.last_sent = ""  # the id of the version that was sent last
+        self.last_sent = ""  # id of the version that was sent last or, before that, that the router has; empty: none
         self.queue: deque[Iterator[bytes]] = deque()
         self.is_producing = False
 
@@ -46,7 +46,7 @@
         clock.call_at(clock.now_us() + REQUEST_TIMEOUT_US, self._on_request_timeout)
 
     def _on_request_timeout(self) -> None:
-        if not self.reader.is_done:
+        if not self.decoder.is_done:
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -58,7 +58,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Called by Twisted when bytes were received."""
-        message = self.reader.receive(data)
+        message = self.decoder.receive(data)
         if message is None:
             return
         if isinstance(message, Malformed):
@@ -123,8 +123,8 @@
         """Called by Twisted when the connection has ended."""
         self.queue.clear()
 
-    def send_comment(self) -> None:
-        """Send a comment to keep the stream alive, unless a version is being sent."""
+    def send_keep_alive(self) -> None:
+        """Send a comment, which shows that the stream is alive, unless a version is being sent."""
         if not self.is_producing:
             self.write(control.encode_keep_alive())
 
@@ -139,7 +139,7 @@
         self.counts: Counter[str] = Counter()
         self.connections: set[RouterConnection] = set()
         self.streams: set[RouterConnection] = set()
-        clock.call_at(clock.now_us() + COMMENT_INTERVAL_US, self._send_comments)
+        clock.call_at(clock.now_us() + KEEP_ALIVE_INTERVAL_US, self._send_keep_alives)
 
     def buildProtocol(self, addr: IAddress | None) -> RouterConnection | None:
         """Called by Twisted when a connection is accepted; None refuses it."""
@@ -148,10 +148,10 @@
             return None
         return RouterConnection(self)
 
-    def _send_comments(self) -> None:
+    def _send_keep_alives(self) -> None:
         for stream in list(self.streams):
-            stream.send_comment()
-        self.clock.call_at(self.clock.now_us() + COMMENT_INTERVAL_US, self._send_comments)
+            stream.send_keep_alive()
+        self.clock.call_at(self.clock.now_us() + KEEP_ALIVE_INTERVAL_US, self._send_keep_alives)
 
     def publish(self, id: VersionId, plan: Any, in_force_ms: int = 0) -> None:
         """Publish a version and send it to all connected routers. Raises ValueError if it is out of order."""
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -1,7 +1,7 @@
 """The WebSocket front: callers that speak the call-control API over WebSocket (docs/call-control.md).
 
-No socket owns a call. An unanswered set-up is cancelled when its socket closes. An established call goes on, and
-the client that resumes it is sent its end.
+No connection owns a call. A set-up without an answer is cancelled when its connection closes. An established call goes
+on, and its release is sent to the client that resumes it.
 """
 
 from __future__ import annotations
@@ -26,90 +26,91 @@
 SWEEP_INTERVAL_US = 5_000_000  # between removals of ended calls
 PING_IDLE_US = 20_000_000  # a ping is sent after this time without received bytes
 UNRESPONSIVE_TIMEOUT_US = 60_000_000  # a connection is closed after this time without received bytes
-CHECK_INTERVAL_US = 250_000  # between checks of the sockets
+CHECK_INTERVAL_US = 250_000  # between checks of the connections
 # A connection whose handshake or message stays incomplete for this long is closed, as on the SIP front.
 MESSAGE_TIMEOUT_US = 2_400_000
 # A connection whose client does not read for this long is closed: this bounds the data that waits for the client.
 WRITE_BLOCKED_TIMEOUT_US = 10_000_000
 MAX_CONNECTIONS = 256
-FINAL_MESSAGES = (api.Refused, api.Failed, api.Cancelled, api.Released)
+# After these messages a call is neither in progress nor established; after an answer, also a final message, it is.
+ENDING_MESSAGES = (api.Refused, api.Failed, api.Cancelled, api.Released)
 
 
 @dataclass(slots=True, eq=False)
 class ApiCall:
-    """A call of this front: the set-up, the latest message about it, and the socket that is sent the next one."""
+    """A call of this front: its set-up, the latest message about it, and the connection that is sent the next one."""
 
-    session: Session | None
+    connection: ClientConnection | None
     last_message: api.Message
     set_up: api.SetUp
     ended_us: int | None = None  # None: in progress or established
 
 
 class CallFront(Factory):
-    """All sockets. Implements the core's Caller port for the calls that arrived on any of them."""
+    """All connections from clients. Implements the core's Caller port for the calls that arrived on any of them."""
 
     def __init__(self, router: Router, clock: ReactorClock, classes: dict[str, int], counts: Counter[str],
                  path: str, max_connections: int = MAX_CONNECTIONS) -> None:
         self.router, self.clock, self.classes, self.counts, self.path = router, clock, classes, counts, path
         self.max_connections = min(max_connections, MAX_CONNECTIONS)
-        self.sessions: set[Session] = set()
+        self.connections: set[ClientConnection] = set()
         self.calls: dict[str, ApiCall] = {}
         self.clock.call_at(self.clock.now_us() + SWEEP_INTERVAL_US, self._sweep)
-        self.clock.call_at(self.clock.now_us() + CHECK_INTERVAL_US, self._check_sessions)
+        self.clock.call_at(self.clock.now_us() + CHECK_INTERVAL_US, self._check_connections)
 
-    def buildProtocol(self, addr: IAddress | None) -> Session | None:
+    def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:
         """Called by Twisted when a connection is accepted; None refuses it."""
-        if len(self.sessions) >= self.max_connections:
+        if len(self.connections) >= self.max_connections:
             self.counts["ws_connections_refused"] += 1
             return None
-        return Session(self)
+        return ClientConnection(self)
 
     def _sweep(self) -> None:
         """Remove the calls whose retention period has expired."""
         now = self.clock.now_us()
         expiry_us = now - ENDED_CALL_RETENTION_US
-        for call in [n for n, c in self.calls.items() if c.ended_us is not None and c.ended_us <= expiry_us]:
-            del self.calls[call]
+        for call_id in [n for n, c in self.calls.items() if c.ended_us is not None and c.ended_us <= expiry_us]:
+            del self.calls[call_id]
         self.clock.call_at(now + SWEEP_INTERVAL_US, self._sweep)
 
-    def _check_sessions(self) -> None:
-        """Close sockets that are unresponsive or do not complete a message."""
+    def _check_connections(self) -> None:
+        """Close connections that are unresponsive or do not complete a message."""
         now = self.clock.now_us()
-        for session in list(self.sessions):
-            session.check_timeouts(now)
-        self.clock.call_at(now + CHECK_INTERVAL_US, self._check_sessions)
+        for connection in list(self.connections):
+            connection.check_timeouts(now)
+        self.clock.call_at(now + CHECK_INTERVAL_US, self._check_connections)
 
     # ---- messages from clients
 
-    def on_request(self, session: Session, request: api.Request) -> None:
-        """Process a message from a client. Raises BadMessage if it is invalid in the call's state."""
+    def on_request(self, connection: ClientConnection, request: api.Request) -> None:
+        """Process a message from a client. Raises InvalidMessageError if the call's state rules it out."""
         call = self.calls.get(request.id)
         if isinstance(request, api.SetUp) and call is not None and (
                 replace(request, deadline=0) != replace(call.set_up, deadline=0)):
             # A different call under an id in use must affect neither the existing call nor its client.
             raise api.InvalidMessageError("id-in-use", "another call has this id", request.id)
         if isinstance(request, api.SetUp) and call is None:
-            self._set_up(session, request)
+            self._set_up(connection, request)
         elif call is None:
             raise api.InvalidMessageError("unknown-call", "no such call", request.id)
         elif isinstance(request, (api.SetUp, api.Resume)):
-            # A repeated request, possibly over a new socket, refers to the same call and never causes a second set-up.
+            # A repeated request, possibly on a new connection, refers to the same call: it causes no second set-up.
             self.counts["ws_repeats"] += 1
-            call.session = session
-            session.send_message(call.last_message)
+            call.connection = connection
+            connection.send_message(call.last_message)
         elif isinstance(request, api.Cancel):
             if self.router.cancel(request.id):
                 self._update_call(request.id, api.Cancelled(request.id))
             else:  # the cancel crossed the answer or is a repeat: the client is sent the call's state again
-                session.send_message(call.last_message)
+                connection.send_message(call.last_message)
         elif self.router.release_call(request.id, request.cause):
             self._update_call(request.id, api.Released(request.id, request.cause))
         elif call.ended_us is not None:
-            session.send_message(call.last_message)
+            connection.send_message(call.last_message)
         else:
             raise api.InvalidMessageError("not-standing", "the call is not answered: cancel it", request.id)
 
-    def _set_up(self, session: Session, message: api.SetUp) -> None:
+    def _set_up(self, connection: ClientConnection, message: api.SetUp) -> None:
         service = self.classes.get(message.service)
         if service is None:
             raise api.InvalidMessageError("unknown-class", "no such class of call", message.id)
@@ -121,19 +122,19 @@
         now = self.router.now_us()
         max_deadline_us = now + self.router.settings.classes[service].deadline_us
         self.counts["ws_set_ups"] += 1
-        self.calls[message.id] = call = ApiCall(session, api.Progress(message.id), message)
+        self.calls[message.id] = call = ApiCall(connection, api.Progress(message.id), message)
         self.router.offer(Request(
             message.id, service, message.service, message.dest, message.number,
             min(message.deadline * 1000, max_deadline_us), message.description.encode(), message.width,
             transit=message.transit, via=message.via, cut_before=message.again), self)
-        if isinstance(call.last_message, api.Progress):
-            session.send_message(call.last_message)
-
-    def on_closed(self, session: Session) -> None:
-        """Cancel the unanswered set-ups of a socket that has closed; established calls go on."""
-        self.sessions.discard(session)
-        for call_id in [n for n, c in self.calls.items() if c.session is session]:
-            self.calls[call_id].session = None
+        if isinstance(call.last_message, api.Progress):  # otherwise the final message was sent within offer
+            connection.send_message(call.last_message)
+
+    def on_closed(self, connection: ClientConnection) -> None:
+        """Cancel the unanswered set-ups of a connection that has closed; established calls go on."""
+        self.connections.discard(connection)
+        for call_id in [n for n, c in self.calls.items() if c.connection is connection]:
+            self.calls[call_id].connection = None
             if self.router.cancel(call_id):
                 self.counts["ws_given_up_by_close"] += 1
                 self._update_call(call_id, api.Cancelled(call_id))
@@ -141,53 +142,53 @@
     # ---- messages from the core
 
     def _update_call(self, call_id: str, message: api.Message) -> None:
-        """Store the latest message about a call, and send it if the call has a socket."""
+        """Store the latest message about a call, and send it if the call has a connection."""
         call = self.calls.get(call_id)
         if call is None:
             return
         call.last_message = message
-        if isinstance(message, FINAL_MESSAGES):
+        if isinstance(message, ENDING_MESSAGES):
             call.ended_us = self.clock.now_us()
-        if call.session is not None:
-            call.session.send_message(message)
+        if call.connection is not None:
+            call.connection.send_message(message)
 
-    def on_answered(self, call: str, description: bytes) -> None:
+    def on_answered(self, call_id: str, description: bytes) -> None:
         """Send the answer: the call is established."""
         self.counts["ws_answers_sent"] += 1
-        self._update_call(call, api.Answer(call, description.decode("utf-8", "replace")))
+        self._update_call(call_id, api.Answer(call_id, description.decode("utf-8", "replace")))
 
-    def on_refused(self, call: str, wait_us: int) -> None:
+    def on_refused(self, call_id: str, wait_us: int) -> None:
         """Refuse a set-up, and tell the caller when to try again."""
         self.counts["ws_refusals_sent"] += 1
-        self._update_call(call, api.Refused(call, -(-wait_us // 1000)))
+        self._update_call(call_id, api.Refused(call_id, -(-wait_us // 1000)))
 
-    def on_failed(self, call: str) -> None:
+    def on_failed(self, call_id: str) -> None:
         """Report that the call has failed."""
         self.counts["ws_failures_sent"] += 1
-        self._update_call(call, api.Failed(call))
+        self._update_call(call_id, api.Failed(call_id))
 
-    def on_released(self, call: str, cause: int) -> None:
+    def on_released(self, call_id: str, cause: int) -> None:
         """Report that an established call has ended."""
         self.counts["ws_releases_sent"] += 1
-        self._update_call(call, api.Released(call, cause))
+        self._update_call(call_id, api.Released(call_id, cause))
 
 
-class Session(StreamProtocol):
-    """The socket of one client."""
+class ClientConnection(StreamProtocol):
+    """The connection of one client."""
 
     def __init__(self, front: CallFront) -> None:
         self.front, self.counts = front, front.counts
-        self.machine = ws.WebSocket(ws.Role.SERVER, front.path)
+        self.websocket = ws.WebSocket(ws.Role.SERVER, front.path)
         self.last_received_us = front.clock.now_us()
         self.partial_since_us: int | None = self.last_received_us  # while the handshake or a message is incomplete
-        self.ping_sent = self.is_receiving = False  # is_receiving: output is flushed once, after all input
+        self.ping_sent = self.is_receiving = False  # is_receiving: output is written once, after all input
 
     def connectionMade(self) -> None:
         """Called by Twisted when the connection is established."""
         super().connectionMade()
         self.counts["ws_connections"] += 1
-        self.front.sessions.add(self)
-        if self.transport is not None:  # nothing is read from a client that does not read, until it does
+        self.front.connections.add(self)
+        if self.transport is not None:  # reading pauses while the client does not read what it is sent
             self.transport.registerProducer(BackpressureProducer(self, self.front.clock, self._on_pause), True)
 
     def _on_pause(self) -> None:
@@ -201,8 +202,8 @@
         """Called by Twisted when bytes were received."""
         self.last_received_us = now = self.front.clock.now_us()
         self.ping_sent, self.is_receiving = False, True
-        events = self.machine.receive(data)
-        if not self.machine.has_partial_message:
+        events = self.websocket.receive(data)
+        if not self.websocket.has_partial_message:
             self.partial_since_us = None
         elif events or self.partial_since_us is None:
             self.partial_since_us = now
@@ -217,7 +218,7 @@
                     log.warning("malformed data from a client", reason=reason)
                     self.close()
         self.is_receiving = False
-        self.write(self.machine.take_output())
+        self.write(self.websocket.take_output())
 
     def _on_text(self, raw: str) -> None:
         try:
@@ -228,9 +229,9 @@
 
     def send_message(self, message: api.Message) -> None:
         """Send a message, or queue it while input is being processed."""
-        self.machine.send(api.encode_message(message))
+        self.websocket.send(api.encode_message(message))
         if not self.is_receiving:
-            self.write(self.machine.take_output())
+            self.write(self.websocket.take_output())
 
     def check_timeouts(self, now_us: int) -> None:
         """Ping an idle client, and close the connection if a timeout has expired."""
@@ -243,11 +244,11 @@
             self.abort()
         elif now_us - self.last_received_us > PING_IDLE_US and not self.ping_sent:
             self.ping_sent = True
-            self.machine.ping()
-            self.write(self.machine.take_output())
+            self.websocket.ping()
+            self.write(self.websocket.take_output())
 
     def close_going_away(self) -> None:
         """Close the connection with status 1001 (going away), because the router stops."""
-        self.machine.close(ws.CloseCode.GOING_AWAY)
-        self.write(self.machine.take_output())
+        self.websocket.close(ws.CloseCode.GOING_AWAY)
+        self.write(self.websocket.take_output())
         self.close()
--- a/astertrack/wire/callapi.py
+++ b/astertrack/wire/callapi.py
@@ -25,18 +25,18 @@
 
 @dataclass(slots=True)
 class SetUp:
-    """Client: place a call. deadline is a Unix time in milliseconds, width the number of circuits."""
+    """Client: set up a call."""
 
     id: str
     service: str
     number: str
     dest: int = -1  # -1: determined by the routing plan, if there is one
-    deadline: int = 0
+    deadline: int = 0  # Unix time in milliseconds
     description: str = ""
-    width: float = 1.0
+    width: float = 1.0  # circuits that the call takes
     transit: bool = False
-    via: int = -1
-    again: bool = False
+    via: int = -1  # recommended tandem, or the exchange from which a call in transit comes; -1: none
+    again: bool = False  # the caller returns after an established call was cut
 
 
 @dataclass(slots=True)
@@ -129,7 +129,7 @@
 Request = SetUp | Cancel | Release | Resume
 Message = Request | Progress | Answer | Refused | Failed | Cancelled | Released | State | Error
 REQUEST_TYPES: dict[str, type[Any]] = {"setup": SetUp, "cancel": Cancel, "release": Release,
-                                 "resume": Resume}
+                                       "resume": Resume}
 REPLY_TYPES: dict[str, type[Any]] = {
     "progress": Progress, "answer": Answer, "refused": Refused, "failed": Failed, "cancelled": Cancelled,
     "released": Released, "state": State, "error": Error}
@@ -138,7 +138,7 @@
 KEY_NAMES = {"service": "class"}  # by field
 MAX_TEXT_LENGTHS = {"number": 128, "service": 64, "code": 64, "reason": 512, "description": MAX_MESSAGE_BYTES}
 INTEGER_RANGES = {"dest": (-1, 2**31), "deadline": (0, 2**53), "via": (-1, 2**31), "cooldown": (0, 2**31),
-         "cause": (1, 127)}
+                  "cause": (1, 127)}
 NUMBER_RANGES = {"width": (1e-6, 64.0), "free": (0.0, 1e9), "size": (0.0, 1e9), "hold_back": (0.0, 1.0)}
 BOOLEAN_FIELDS = ("transit", "again")
 REQUIRED_FIELDS: dict[type[Any], tuple[str, ...]] = {
--- a/astertrack/wire/peer.py
+++ b/astertrack/wire/peer.py
@@ -30,12 +30,12 @@
 class Parameter(IntEnum):
     """Parameter codes."""
 
-    CLASS = 1
-    WAIT = 3
-    NUMBER = 9
-    NOTE = 15
-    REPORT = 19
-    CAUSE = 29
+    CLASS = 1  # name of the class of call
+    WAIT = 3  # time left for an answer, in milliseconds, as decimal digits
+    NUMBER = 9  # the called number
+    NOTE = 15  # why a set-up was released, besides the cause
+    REPORT = 19  # a load report, name:value;name:value
+    CAUSE = 29  # one byte: the cause of a release; in the result of a test, 1 if it was passed
     DESCRIPTION = 31
 
 
@@ -82,7 +82,7 @@
                 length = int.from_bytes(self._buffer[offset:offset + 2])
                 if length + 2 > MAX_MESSAGE_BYTES:
                     raise MalformedError("message too long")
-                if length < 9:
+                if length < 9:  # the type and the call id
                     raise MalformedError("message too short")
                 if len(self._buffer) - offset < 2 + length:
                     break
@@ -133,7 +133,7 @@
 
 @dataclass(slots=True)
 class TestResult:
-    """A test was answered; the report gives the peer's load."""
+    """A test message, with which a link probes its peer, was answered; the report gives the peer's load."""
 
     call: str
     passed: bool
@@ -176,10 +176,10 @@
     return None
 
 
-def encode_set_up(call: str, tier: str, number: str, wait_ms: int, description: bytes) -> bytes:
-    """Encode a set-up; wait_ms is the time left for an answer."""
+def encode_set_up(call: str, class_name: str, number: str, wait_ms: int, description: bytes) -> bytes:
+    """Encode a set-up; wait_ms is the time left for an answer, in milliseconds."""
     return encode_message(Message(MessageType.SET_UP, call, {
-        Parameter.CLASS: tier.encode(), Parameter.WAIT: str(wait_ms).encode(), Parameter.NUMBER: number.encode(),
+        Parameter.CLASS: class_name.encode(), Parameter.WAIT: str(wait_ms).encode(), Parameter.NUMBER: number.encode(),
         Parameter.DESCRIPTION: description}))
 
 
@@ -189,5 +189,5 @@
 
 
 def encode_test(call: str) -> bytes:
-    """Encode a test that requests a load report."""
+    """Encode a test message, which probes the peer and requests a load report; call is the id of the probe."""
     return encode_message(Message(MessageType.TEST, call, {Parameter.CAUSE: b"\1"}))
--- a/astertrack/wire/sip.py
+++ b/astertrack/wire/sip.py
@@ -20,9 +20,9 @@
 
 CALL_ID_PATTERN = re.compile(r"[0-9a-f]{16}", re.ASCII)
 REASON_PHRASES = {100: "Trying", 200: "OK", 400: "Bad Request", 480: "Temporarily Unavailable",
-           481: "Call/Transaction Does Not Exist", 487: "Request Terminated",
-           500: "Server Internal Error", 501: "Not Implemented",
-           503: "Service Unavailable"}
+                  481: "Call/Transaction Does Not Exist", 487: "Request Terminated",
+                  500: "Server Internal Error", 501: "Not Implemented",
+                  503: "Service Unavailable"}
 ECHOED_HEADERS = ("via", "from", "to", "call-id", "cseq")
 # One search with this pattern costs less than a loop over the characters.
 CONTROL_CHARACTERS = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")  # not allowed in headers
@@ -49,8 +49,8 @@
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._scanned_bytes = 0
-        self.has_failed = False
+        self._scanned_bytes = 0  # of the buffer, which need not be searched again for the end of the head
+        self.has_failed = False  # nothing more is decoded
 
     @property
     def has_partial_message(self) -> bool:
@@ -134,13 +134,13 @@
 
 @dataclass(slots=True)
 class SetUp:
-    """An INVITE: a caller offers a call, and waits wait_ms for the final response."""
+    """An INVITE: a caller offers a call, and waits wait_ms milliseconds for the final response."""
 
     call: str
     number: str
-    tier: str
+    class_name: str  # of the class of call, from X-Tier
     wait_ms: int
-    attrs: str
+    attrs: str  # name:value;name:value, from X-Attrs
     description: bytes
 
 
@@ -221,7 +221,8 @@
                 event = self._handle_message(message)
             except MalformedError as error:
                 self._decoder.has_failed = True
-                if message.headers.get("call-id", "") not in self.pending_invites:  # those get their own response
+                # A set-up with this id that is pending is sent its own final response by the owner of this object.
+                if message.headers.get("call-id", "") not in self.pending_invites:
                     self._respond(message.headers, 400)
                 events.append(Malformed(str(error)))
                 break
@@ -277,8 +278,11 @@
         """Answer a set-up: the call is established. Returns False if the set-up is not pending here."""
         return self._send_final(call, 200, body=description)
 
-    def refuse(self, call: str, status: int, cooldown_ms: int | None = None) -> bool:
-        """Send a final response other than 200 to a set-up. Returns False if the set-up is not pending here."""
+    def reject(self, call: str, status: int, cooldown_ms: int | None = None) -> bool:
+        """Send a final response other than 200 to a set-up: it is refused, has failed or was cancelled.
+
+        Returns False if the set-up is not pending here.
+        """
         extra_headers = [] if cooldown_ms is None else [("X-Cooldown", str(cooldown_ms))]
         return self._send_final(call, status, extra_headers)
 
--- a/astertrack/wire/sse.py
+++ b/astertrack/wire/sse.py
@@ -14,7 +14,7 @@
     take_http_head,
 )
 
-MAX_LIST_EVENT_BYTES = 64 * MAX_MESSAGE_BYTES  # of one event: the first holds the complete list
+MAX_LIST_EVENT_BYTES = 64 * MAX_MESSAGE_BYTES  # of one event: the bulletin's first one holds the complete list of peers
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 class EventDecoder:
     """Decodes the events of one response, whose body is chunked or lasts until the connection is closed.
 
-    max_event_bytes limits the data of one event. Unless accepts_any_id, ids have to be integers.
+    max_event_bytes limits the data of one event. Unless accepts_any_id, ids have to be integers, as in the bulletin.
     """
 
     def __init__(self, max_event_bytes: int = MAX_LIST_EVENT_BYTES, accepts_any_id: bool = False) -> None:
@@ -111,6 +111,7 @@
             part = self._buffer[:self._chunk_left]
             self._chunk_left -= len(part)
             del self._buffer[:len(part)]
+            # Without those of the last two bytes of the chunk, its line end, that are in this part.
             data_length = max(0, len(part) - max(0, 2 - self._chunk_left))
             self._body += part[:data_length]
             self._chunk_left = self._chunk_left or -1
--- a/astertrack/wire/websocket.py
+++ b/astertrack/wire/websocket.py
@@ -118,11 +118,11 @@
         self._buffer = bytearray()
         self._output = bytearray()
         self._fragments: bytearray | None = None  # payload so far of a fragmented message
-        self._key = ""
+        self._key = ""  # of the handshake request that was sent; only a client has one
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a handshake, a frame or a fragmented message has been received in part."""
+        """Whether the handshake, a frame or a fragmented message is still incomplete."""
         return self.state is State.CONNECTING or bool(self._buffer) or self._fragments is not None
 
     def take_output(self) -> bytes:
@@ -135,8 +135,8 @@
         """Start the handshake as a client."""
         self._key = base64.b64encode(self._random_bytes(16)).decode()
         self._output += (f"GET {self.path} HTTP/1.1\r\nHost: {self.host}\r\nUpgrade: websocket\r\n"
-                      f"Connection: Upgrade\r\nSec-WebSocket-Key: {self._key}\r\n"
-                      "Sec-WebSocket-Version: 13\r\n\r\n").encode()
+                         f"Connection: Upgrade\r\nSec-WebSocket-Key: {self._key}\r\n"
+                         "Sec-WebSocket-Version: 13\r\n\r\n").encode()
 
     def receive(self, data: bytes) -> list[Event]:
         """Add received bytes and return the events that they complete.
@@ -204,7 +204,7 @@
         except ValueError:
             self._reject_handshake(400, "Bad Request", "the key is not 16 bytes in base64")
         self._output += ("HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
-                      f"Sec-WebSocket-Accept: {accept_token(key)}\r\n\r\n").encode()
+                         f"Sec-WebSocket-Accept: {accept_token(key)}\r\n\r\n").encode()
 
     def _check_response(self, start_line: str, headers: dict[str, str]) -> None:
         if start_line.split(" ")[:2] != ["HTTP/1.1", "101"] or not self._requests_upgrade(headers):
@@ -215,10 +215,11 @@
             raise _ProtocolError(CloseCode.PROTOCOL_ERROR, "an extension that was not offered")
 
     def _reject_handshake(self, status: int, phrase: str, reason: str) -> None:
+        """Raise _ProtocolError, as a server after a response with this status."""
         if self.role is Role.SERVER:
             version = "Sec-WebSocket-Version: 13\r\n" if status == 426 else ""
             self._output += (f"HTTP/1.1 {status} {phrase}\r\n{version}Connection: close\r\n"
-                          "Content-Length: 0\r\n\r\n").encode()
+                             "Content-Length: 0\r\n\r\n").encode()
         raise _ProtocolError(CloseCode.PROTOCOL_ERROR, reason)
 
     # ---- frames
@@ -285,7 +286,7 @@
             code = int.from_bytes(payload[:2])
             self._decode(payload[2:])
             if len(payload) < 2 or not (1000 <= code <= 1014 or 3000 <= code <= 4999) or (
-                    code in (1004, 1005, 1006)):
+                    code in (1004, 1005, 1006)):  # reserved: they may not be sent (RFC 6455, section 7.4.1)
                 raise _ProtocolError(CloseCode.PROTOCOL_ERROR, "invalid close code")
         self.close(CloseCode.NORMAL if code == CloseCode.NO_STATUS else code)
         self.state = State.CLOSED
--- a/tests/test_call_front.py
+++ b/tests/test_call_front.py
@@ -11,19 +11,19 @@
 from test_websocket_codec import HANDSHAKE, frame
 from twisted.internet.task import Clock
 
-from astertrack.net.websocket import CallFront, Session
+from astertrack.net.websocket import CallFront, ClientConnection
 from astertrack.wire import callapi as api
 
 
-def connect() -> tuple[Clock, Session, Any]:
+def connect() -> tuple[Clock, ClientConnection, Any]:
     """Return a socket after its handshake, with its clock and its transport."""
     reactor, transport = Clock(), cast(Any, FakeTransport)()
     front = CallFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
-    session = cast(Any, front.buildProtocol(None))
-    session.makeConnection(transport)
-    session.dataReceived(HANDSHAKE)
+    connection = cast(Any, front.buildProtocol(None))
+    connection.makeConnection(transport)
+    connection.dataReceived(HANDSHAKE)
     transport.clear()
-    return reactor, session, transport
+    return reactor, connection, transport
 
 
 def pass_time(reactor: Clock, seconds: int) -> None:
@@ -33,10 +33,10 @@
 
 
 def test_an_idle_socket_is_pinged_and_an_unresponsive_one_is_closed() -> None:
-    reactor, session, transport = connect()
+    reactor, connection, transport = connect()
     pass_time(reactor, 25)
     assert transport.value() == frame(0x89, b"", masked=False)
-    session.dataReceived(frame(0x8A, b""))  # a pong
+    connection.dataReceived(frame(0x8A, b""))  # a pong
     pass_time(reactor, 59)
     assert not transport.aborted
     pass_time(reactor, 2)
@@ -48,10 +48,10 @@
 def test_a_socket_with_an_incomplete_handshake_or_message_is_closed_in_time(received: bytes) -> None:
     reactor, transport = Clock(), cast(Any, FakeTransport)()
     front = CallFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
-    session = cast(Any, front.buildProtocol(None))
-    session.makeConnection(transport)
+    connection = cast(Any, front.buildProtocol(None))
+    connection.makeConnection(transport)
     if received:
-        session.dataReceived(received)
+        connection.dataReceived(received)
     pass_time(reactor, 2)
     assert not transport.aborted
     pass_time(reactor, 1)
@@ -59,20 +59,20 @@
 
 
 def test_a_set_up_with_the_id_of_an_open_call_and_other_fields_does_not_affect_it() -> None:
-    _, session, _ = connect()
-    front = session.front
-    now_ms = session.front.router.now_us() // 1000
+    _, connection, _ = connect()
+    front = connection.front
+    now_ms = connection.front.router.now_us() // 1000
     set_up = api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000)
-    front.on_request(session, set_up)
+    front.on_request(connection, set_up)
     with pytest.raises(api.InvalidMessageError):
-        front.on_request(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000, description="other"))
-    front.on_request(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000))  # a repeat
+        front.on_request(connection, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000, description="other"))
+    front.on_request(connection, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000))  # a repeat
     assert front.calls["1" * 16].set_up is set_up
     assert front.counts["ws_set_ups"] == 1
 
 
 def test_a_client_that_does_not_read_is_not_read_from() -> None:
-    reactor, session, transport = connect()
+    reactor, connection, transport = connect()
     producer = cast(Any, transport.producer)
     producer.pauseProducing()
     assert transport.producerState == "paused"
@@ -80,16 +80,16 @@
     assert transport.producerState == "producing"
     producer.pauseProducing()
     pass_time(reactor, 9)
-    session.dataReceived(frame(0x8A, b"", masked=True))
+    connection.dataReceived(frame(0x8A, b"", masked=True))
     assert not transport.aborted
     pass_time(reactor, 2)
     assert transport.aborted
 
 
 def test_the_end_of_a_call_is_kept_for_the_retention_period() -> None:
-    reactor, session, _ = connect()
-    front = session.front
-    front.on_request(session, api.SetUp("0" * 16, "ledger-read", "5", 9, 0))  # its deadline has passed
+    reactor, connection, _ = connect()
+    front = connection.front
+    front.on_request(connection, api.SetUp("0" * 16, "ledger-read", "5", 9, 0))  # its deadline has passed
     assert isinstance(front.calls["0" * 16].last_message, api.Refused)
     for _ in range(11):
         reactor.advance(5)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -78,13 +78,13 @@
     @rule(ticks=st.integers(1, 30))
     def wait(self, ticks: int) -> None:
         for _ in range(ticks):
-            had_pending = bool(self.connection.machine.pending_invites)
+            had_pending = bool(self.connection.sip_connection.pending_invites)
             self.fixture.pass_time(0.25)
             now = self.now_us()
             closed_with_pending = had_pending and self.transport.is_closed  # closing refuses pending set-ups
             overdue = [0 if self.has_sent_message else now - self.active_us - MESSAGE_TIMEOUT_US,
                        now - self.partial_since_us - MESSAGE_TIMEOUT_US if self.partial_since_us is not None else 0,
-                       0 if self.connection.machine.pending_invites or closed_with_pending
+                       0 if self.connection.sip_connection.pending_invites or closed_with_pending
                        else now - self.active_us - IDLE_TIMEOUT_US]
             assert max(overdue) <= 2 * SWEEP_INTERVAL_US or self.is_closed
             if self.transport.is_closed and not self.is_closed:
@@ -95,7 +95,7 @@
     def is_closed_exactly_when_a_timeout_has_expired(self) -> None:
         assert self.transport.is_closed is self.is_closed
         if self.is_closed:  # open set-ups are answered first
-            assert not self.connection.machine.pending_invites
+            assert not self.connection.sip_connection.pending_invites
 
 
 TestConnectionStates = ConnectionStates.TestCase
@@ -218,7 +218,7 @@
     assert transport.value().startswith(b"SIP/2.0 400 ")
     assert transport.is_closed
     connection.dataReceived(b"x" * 100_000)  # nothing that still arrives is buffered
-    assert not connection.machine.has_partial_message
+    assert not connection.sip_connection.has_partial_message
 
 
 def test_a_release_is_sent_where_calls_were_answered_not_on_the_latest_connection() -> None:
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -71,7 +71,7 @@
     server.receive(sip.encode_message("INVITE sip:5@net SIP/2.0", [
         ("Via", "SIP/2.0/TCP peer"), ("From", "a"), ("Call-ID", call), ("CSeq", "1 INVITE"),
         ("X-Deadline", "100")], b"offer"))
-    assert server.refuse(call, 503, 250)
+    assert server.reject(call, 503, 250)
     assert not server.answer(call, b"late")
     (message,) = sip.MessageDecoder().receive(server.take_output())
     assert isinstance(message, sip.Message)
