--- a/tests/drivers.py
+++ b/tests/drivers.py
@@ -1,4 +1,4 @@
-"""Fixtures for the tests of the Twisted drivers: a fake transport, a fake clock and the SIP front on them."""
+"""Fixtures for the tests of the Twisted protocols of astertrack.net: fake transport, fake clock, the SIP front."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class FakeTransport(StringTransport):
-    """A transport that records whether it was aborted."""
+    """A transport that records what is written and whether it was aborted."""
 
     aborted = False
 
     def abortConnection(self) -> None:
-        """Called by the driver to abort the connection."""
+        """Called by the protocol to abort the connection."""
         self.aborted = True
 
     def setTcpNoDelay(self, enabled: bool) -> None:
@@ -30,7 +30,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Return whether the driver has closed or aborted the connection."""
+        """Return whether the protocol has closed or aborted the connection."""
         return self.aborted or self.disconnecting
 
 
@@ -76,12 +76,12 @@
 
 
 def response_statuses(transport: Any, call: str) -> list[int]:
-    """Return the statuses of the responses to a set-up or, for an empty id, of those without a call id."""
+    """Return the statuses of the responses with this call id or, for an empty id, of those without one."""
     responses = [m for m in sip.MessageDecoder().receive(transport.value()) if isinstance(m, sip.Message) and m.status]
     return [m.status for m in responses if m.headers.get("call-id", "") == call]
 
 
 def released_calls(transport: Any) -> list[str]:
-    """Return the calls released on a connection."""
+    """Return the ids of the calls released on a connection."""
     return [m.headers["call-id"] for m in sip.MessageDecoder().receive(transport.value())
             if isinstance(m, sip.Message) and m.method == "BYE"]
--- a/tests/test_bulletin.py
+++ b/tests/test_bulletin.py
@@ -11,7 +11,7 @@
 
 
 class BulletinServer:
-    """A stand-in bulletin, which can close its connections as real ones do."""
+    """A stand-in for the bulletin; tests can close its connections."""
 
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
@@ -43,7 +43,7 @@
 
     def publish(self, *endpoints: dict[str, Any], snapshot: bool = False) -> None:
         """Send an event on all connections."""
-        no = 2 + len(self.events)
+        no = 2 + len(self.events)  # event 1 is in the configuration with which the program starts
         self.events.append({"no": no, "roster": {
             "index": no, "snapshot": snapshot, "endpoints": list(endpoints)}})
         for writer in self.writers:
@@ -78,7 +78,7 @@
             caller = await SipCaller.connect(router.port)
             await until(lambda: bulletin.writers)
             assert bulletin.last_event_ids == ["1"]
-            assert await place_call(caller, "a" * 16, "good", 2) == 503  # not in the list
+            assert await place_call(caller, "a" * 16, "good", 2) == 503  # no peer has number 2 yet
             bulletin.publish(make_endpoint("s-2", 2, other.address))
             await until(lambda: other.writers)  # the router connects, to receive the state of the group
             assert await place_call(caller, "b" * 16, "long", 2) == 200
@@ -101,7 +101,7 @@
     asyncio.run(work())
 
 
-def test_malformed_events_are_skipped() -> None:
+def test_after_a_malformed_event_the_events_are_requested_again_and_the_valid_ones_count() -> None:
     async def work() -> None:
         bulletin = await BulletinServer().start()
         other = await BinaryNode().start()
@@ -113,7 +113,8 @@
             await until(lambda: other.writers)
             caller = await SipCaller.connect(router.port)
             assert await place_call(caller, "e" * 16, "good", 2) == 200
-            # The first is requested again, once; an event that stays malformed is skipped.
+            # The first malformed event drops the connection, and what follows event 1 is requested again. The second
+            # one arrived on the dropped connection and is ignored.
             assert bulletin.last_event_ids[:2] == ["1", "1"]
             assert (await router.counts())["bulletin_malformed"] == 1
         other.stop()
--- a/tests/test_call_front.py
+++ b/tests/test_call_front.py
@@ -1,4 +1,4 @@
-"""Sockets of the WebSocket front on a fake clock: pings, timeouts, repeated ids, clients that do not read."""
+"""Connections of the WebSocket front on a fake clock: pings, timeouts, repeated ids, clients that do not read."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def connect() -> tuple[Clock, ClientConnection, Any]:
-    """Return a socket after its handshake, with its clock and its transport."""
+    """Return a connection after its handshake, with its clock and its transport."""
     reactor, transport = Clock(), cast(Any, FakeTransport)()
     front = CallFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
     connection = cast(Any, front.buildProtocol(None))
@@ -32,7 +32,7 @@
         reactor.advance(0.05)
 
 
-def test_an_idle_socket_is_pinged_and_an_unresponsive_one_is_closed() -> None:
+def test_an_idle_connection_is_pinged_and_an_unresponsive_one_is_closed() -> None:
     reactor, connection, transport = connect()
     pass_time(reactor, 25)
     assert transport.value() == frame(0x89, b"", masked=False)
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("received", [
     b"", HANDSHAKE[:30], HANDSHAKE + b"\x81", HANDSHAKE + frame(0x01, b"{", masked=True)])
-def test_a_socket_with_an_incomplete_handshake_or_message_is_closed_in_time(received: bytes) -> None:
+def test_a_connection_with_an_incomplete_handshake_or_message_is_closed_in_time(received: bytes) -> None:
     reactor, transport = Clock(), cast(Any, FakeTransport)()
     front = CallFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
     connection = cast(Any, front.buildProtocol(None))
@@ -58,7 +58,7 @@
     assert transport.aborted
 
 
-def test_a_set_up_with_the_id_of_an_open_call_and_other_fields_does_not_affect_it() -> None:
+def test_a_set_up_with_the_id_of_a_pending_call_and_other_fields_does_not_affect_it() -> None:
     _, connection, _ = connect()
     front = connection.front
     now_ms = connection.front.router.now_us() // 1000
@@ -91,7 +91,7 @@
     front = connection.front
     front.on_request(connection, api.SetUp("0" * 16, "ledger-read", "5", 9, 0))  # its deadline has passed
     assert isinstance(front.calls["0" * 16].last_message, api.Refused)
-    for _ in range(11):
+    for _ in range(11):  # 55 s of 60 s
         reactor.advance(5)
     assert front.calls
     reactor.advance(5)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -35,7 +35,7 @@
 
 
 class ConnectionStates(RuleBasedStateMachine):
-    """Model of a connection: without a message, within a message, idle, with an open set-up, closed."""
+    """Model of a connection: without a message, within a message, idle, with a pending set-up, closed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -94,7 +94,7 @@
     @invariant()
     def is_closed_exactly_when_a_timeout_has_expired(self) -> None:
         assert self.transport.is_closed is self.is_closed
-        if self.is_closed:  # open set-ups are answered first
+        if self.is_closed:  # pending set-ups are answered first
             assert not self.connection.sip_connection.pending_invites
 
 
@@ -112,9 +112,9 @@
         new = fixture.connect()
         assert victim[1].is_closed
         close_by_peer(victim[0])
-        new[0].dataReceived(make_invite(f"{len(fixture.harness.peer_by_call) + 7:016x}"))
+        new[0].dataReceived(make_invite(f"{len(fixture.harness.peer_by_call) + 7:016x}"))  # an unused id
     assert not busy[1].is_closed
-    assert fixture.front.buildProtocol(None) is None  # all have set-ups open: the new one is refused
+    assert fixture.front.buildProtocol(None) is None  # all have pending set-ups: the new one is refused
     assert fixture.counts["sip_connections_refused"] == 1
 
 
@@ -142,7 +142,7 @@
     for _ in range(100):
         if (new := fixture.front.buildProtocol(None)) is not None:
             new.makeConnection(FakeTransport())  # type: ignore[no-untyped-call]
-    assert fixture.front.open_descriptors <= 28
+    assert fixture.front.open_descriptors <= 28  # the limit of 20 and the margin of 8
 
 
 def test_a_connection_with_bytes_not_read_yet_is_not_closed_for_being_idle() -> None:
@@ -184,7 +184,7 @@
     assert not fixture.harness.set_ups
 
 
-def test_a_set_up_with_the_id_of_an_open_call_from_another_connection_does_not_affect_it() -> None:
+def test_a_set_up_with_the_id_of_a_call_pending_on_another_connection_does_not_affect_it() -> None:
     fixture = SipFrontFixture()
     (first, first_transport), (other, other_transport) = fixture.connect(), fixture.connect()
     first.dataReceived(make_invite(FIRST_CALL))
@@ -196,7 +196,7 @@
     assert response_statuses(first_transport, FIRST_CALL) == [200]
 
 
-def test_a_set_up_with_the_id_of_an_open_call_and_another_description_is_refused_and_closes() -> None:
+def test_a_set_up_with_the_id_of_a_pending_call_and_another_description_is_refused_and_closes() -> None:
     fixture = SipFrontFixture()
     connection, transport = fixture.connect()
     connection.dataReceived(make_invite(FIRST_CALL) + make_invite(FIRST_CALL))  # a repeat, which is ignored
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,7 +17,10 @@
 from laboratory.control_service import ControlService, endless, events, wrong
 from laboratory.stand_ins import ApiCaller, BinaryNode, CutNode, SipCaller, free_port, program, until
 
-CALL_NUMBERS = itertools.count(0xC000)
+# Stand-in nodes answer by the first word of the called number: "silent" gives no answer, "long" a call that stays
+# established until it is released, and any other word used here an answer and a release soon after it.
+
+CALL_NUMBERS = itertools.count(0xC000)  # from which call ids are made
 EXCHANGES = [Exchange(n, "fes") for n in (1, 2, 3)]
 
 
@@ -37,8 +40,8 @@
 
 
 def make_settings(service: ControlService | None = None, store: str = "", seconds: float = 0, file: str = "",
-             address: str = "") -> str:
-    """Return the text of versions.toml."""
+                  address: str = "") -> str:
+    """Return the text of versions.toml, with a probation of this many seconds."""
     where = service.address if service is not None else address
     return (f'[service]\naddress = "{where}"\n[store]\nfolder = "{store}"\n[plan]\nfile = "{file}"\n'
             f"[probation]\nseconds = {seconds}\n")
@@ -58,8 +61,8 @@
         service = await ControlService().start()
         nodes = {n: await BinaryNode().start() for n in (1, 2, 3)}
         service.publish(VersionId(1, 1), make_plan(Prefix("5", 1), Prefix("55", 2), Barred("9", 700),
-                                              Choice(3, direct=False, over=[[2]], any_tandem=False),
-                                              Prefix("7", 3), RetryAdvice("unmatched", 300)))
+                                                  Choice(3, direct=False, over=[[2]], any_tandem=False),
+                                                  Prefix("7", 3), RetryAdvice("unmatched", 300)))
         async with program(nodes, versions=make_settings(service)) as router:  # type: ignore[arg-type]
             await until(lambda: "in-force" in service.stands(VersionId(1, 1)))
             sip, api = await SipCaller.connect(router.port), await ApiCaller.connect(router.api_port)
@@ -201,8 +204,9 @@
         async with program(nodes, gateway=store, versions=make_settings(service)) as router:  # type: ignore[arg-type]
             await until(lambda: "in-force" in service.stands(VersionId(1, 1)))
             api = await ApiCaller.connect(router.api_port)
-            for word in ("silent", "long"):  # the number sets the node's behaviour; the plan keeps the caller's dest
-                api.set_up(new_call_id(), f"{word}-1", 1, 2500)
+            for behaviour in ("silent", "long"):  # neither number is in the plan, which keeps the caller's dest
+                api.set_up(new_call_id(), f"{behaviour}-1", 1, 2500)
+            # The ids of these two calls.
             calls = list(itertools.islice((f"{n:016x}" for n in itertools.count(next(CALL_NUMBERS) - 2)), 2))
             await until(lambda: nodes[1].seen[calls[0]] and api.finals(calls[1]))
             # Version 2 removes exchange 1, at which one call is established and one waits for its answer.
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -62,6 +62,7 @@
         self.link: PeerLink = cast(PeerLink, self.table.links["x1"])
 
     def make_link(self, endpoint: Endpoint) -> PeerLink:
+        """Called by the table to make a link."""
         link = PeerLink(endpoint.entry.exchange, endpoint.address, self.router, FakeClock(self.reactor),
                         self.counts, 500_000)
         link.dial()
@@ -111,11 +112,11 @@
 
 
 CORRUPT_MESSAGES = [
-    b"\xff\xff" + bytes(60), b"\x00\x04" + bytes(60), b"\x00\x09\x63" + bytes(8),
-    b"\x00\x0f\x09" + bytes.fromhex(FIRST_CALL) + b"\x1f\xff\xff\x00\x00\x00",
-    wire.encode_message(wire.Message(wire.MessageType.ANSWER, FIRST_CALL, {})),
-    b"\x00\x11\x09" + bytes.fromhex(FIRST_CALL) + b"\x1f\x00\x01a\x1f\x00\x01b",
-    wire.encode_message(wire.Message(wire.MessageType.RELEASE, FIRST_CALL, {}))]
+    b"\xff\xff" + bytes(60), b"\x00\x04" + bytes(60), b"\x00\x09\x63" + bytes(8),  # too long, too short, unknown type
+    b"\x00\x0f\x09" + bytes.fromhex(FIRST_CALL) + b"\x1f\xff\xff\x00\x00\x00",  # parameter longer than its message
+    wire.encode_message(wire.Message(wire.MessageType.ANSWER, FIRST_CALL, {})),  # without a description
+    b"\x00\x11\x09" + bytes.fromhex(FIRST_CALL) + b"\x1f\x00\x01a\x1f\x00\x01b",  # with two descriptions
+    wire.encode_message(wire.Message(wire.MessageType.RELEASE, FIRST_CALL, {}))]  # without a cause
 
 
 @pytest.mark.parametrize("corrupt_message", CORRUPT_MESSAGES)
@@ -125,11 +126,11 @@
     peer.connection.dataReceived(corrupt_message)
     assert peer.transports[0].aborted
     assert peer.router.counts["attempts_cut"] == 2
-    peer.send_answer(FIRST_CALL)  # ignored, because it follows the corrupt message
+    peer.send_answer(FIRST_CALL)  # ignored, because it follows the corrupt message on the same connection
     close_by_peer(peer.connection)
     assert not peer.harness.finals
     assert peer.router.counts["attempts_cut"] == 2
-    peer.connect()  # at once; set-ups that may have been answered are released before anything else
+    peer.connect()  # it was redialled at once; set-ups that may have been answered are released before anything else
     assert sorted(peer.sent_messages()) == [
         (wire.MessageType.RELEASE, FIRST_CALL), (wire.MessageType.RELEASE, SECOND_CALL)]
     peer.pass_time(350_000)
@@ -157,7 +158,7 @@
 @pytest.mark.parametrize("separate_reads", [False, True])
 @pytest.mark.parametrize("missing", [1, 2, 5, 11])
 def test_a_message_after_a_truncated_answer_is_not_taken_for_the_rest_of_it(separate_reads: bool, missing: int) -> None:
-    """An answer was truncated, the following group state completed it, and the caller received both as the answer."""
+    """A truncated answer was completed by the group state after it, and the caller received both as the answer."""
     peer = connected_peer(FIRST_CALL)
     truncated = wire.encode_message(wire.Message(
         wire.MessageType.ANSWER, FIRST_CALL, {wire.Parameter.DESCRIPTION: b"c=IN IP4 10.4.7.9"}))[:-missing]
@@ -257,7 +258,7 @@
     assert peer.harness.caller_releases == {FIRST_CALL: 1}
     assert PEER_LOST_TIMEOUT_US + 2 * LIVENESS_CHECK_INTERVAL_US < 8_000_000
     peer.connect()
-    # The peer was unreachable, not dead: the circuits of the call are freed there.
+    # The peer was unreachable and may still hold the circuits of the call: it is sent a release.
     assert (wire.MessageType.RELEASE, FIRST_CALL) in peer.sent_messages()
 
 
--- a/tests/test_websocket_codec.py
+++ b/tests/test_websocket_codec.py
@@ -19,12 +19,15 @@
 
 
 def make_server() -> WebSocket:
-    """A server end of the codec under test."""
+    """Return a server end of the codec under test."""
     return WebSocket(Role.SERVER, "/calls")
 
 
 def frame(first_byte: int, payload: bytes, masked: bool = True) -> bytes:
-    """A client's frame (a server's if not masked); the mask is all zero."""
+    """Return a client's frame, or a server's if not masked; the mask is all zero.
+
+    first_byte holds the final flag, the reserved bits and the opcode.
+    """
     size = len(payload)
     length = bytes((size | masked << 7,)) if size < 126 else bytes((126 | masked << 7,)) + size.to_bytes(2)
     return bytes((first_byte,)) + length + bytes(4 * masked) + payload
@@ -135,7 +138,7 @@
 
     @staticmethod
     def peer_of(role: Role) -> Role:
-        """The role of the other end."""
+        """Return the role of the other end."""
         return Role.CLIENT if role is Role.SERVER else Role.SERVER
 
     @rule(role=st.sampled_from(Role), size=st.integers(1, 400))
--- a/tests/test_wires.py
+++ b/tests/test_wires.py
@@ -23,9 +23,9 @@
 
 
 def bye(call: str) -> bytes:
-    """A BYE from a caller, with cause 31."""
+    """Return a BYE from a caller, with cause 31 and a header name in lower case."""
     return sip.encode_message(f"BYE sip:{call}@net SIP/2.0", [("call-id", call), ("CSeq", "2 BYE"),
-                                                      ("Reason", "Q.850;cause=31")])
+                                                              ("Reason", "Q.850;cause=31")])
 
 
 @given(st.lists(INVITES, max_size=4, unique_by=lambda invite: invite[0].call), CALL_IDS, PIECE_LENGTHS)
@@ -89,8 +89,9 @@
 
 
 @pytest.mark.parametrize("raw", [
-    b"\x40\x00", b"\x00\x08" + b"1" * 8, b"\x00\x0b\x0c" + b"1" * 8 + b"\x1d\x00",
-    b"\x00\x0c\x0c" + b"1" * 8 + b"\x1d\x00\x01",
+    b"\x40\x00", b"\x00\x08" + b"1" * 8,  # a message too long, one too short
+    b"\x00\x0b\x0c" + b"1" * 8 + b"\x1d\x00",  # the head of a parameter is cut off
+    b"\x00\x0c\x0c" + b"1" * 8 + b"\x1d\x00\x01",  # a parameter longer than its message
 ])
 def test_malformed_binary_messages_are_reported_once(raw: bytes) -> None:
     decoder = peer.MessageDecoder()
@@ -99,7 +100,7 @@
 
 
 def test_a_release_needs_a_cause_of_one_byte() -> None:
-    for parameters in ({}, {29: b""}, {29: b"16"}):
+    for parameters in ({}, {29: b""}, {29: b"16"}):  # 29 is the code of the cause
         with pytest.raises(MalformedError):
             peer.parse_event(peer.Message(peer.MessageType.RELEASE, "0" * 16, parameters))
 
