--- a/tests/test_call_front.py
+++ b/tests/test_call_front.py
@@ -1,4 +1,4 @@
-"""Sockets of the WebSocket front on a fake clock: pings, timeouts, repeated ids, clients that do not read."""
+"""Connections of the WebSocket front on a fake clock: pings, timeouts, repeated ids, clients that do not read."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from test_websocket_codec import HANDSHAKE, frame
 from twisted.internet.task import Clock
 
-from astertrack.net.websocket import CallFront, Session
+from astertrack.net.websocket import CallFront, ClientConnection
 from astertrack.wire import callapi as api
 
 
-def connect() -> tuple[Clock, Session, Any]:
-    """Return a socket after its handshake, with its clock and its transport."""
+def connect() -> tuple[Clock, ClientConnection, Any]:
+    """Return a connection after its handshake, with its clock and its transport."""
     reactor, transport = Clock(), cast(Any, FakeTransport)()
     front = CallFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
-    session = cast(Any, front.buildProtocol(None))
-    session.makeConnection(transport)
-    session.dataReceived(HANDSHAKE)
+    connection = cast(Any, front.buildProtocol(None))
+    connection.makeConnection(transport)
+    connection.dataReceived(HANDSHAKE)
     transport.clear()
-    return reactor, session, transport
+    return reactor, connection, transport
 
 
 def pass_time(reactor: Clock, seconds: int) -> None:
@@ -32,11 +32,11 @@
         reactor.advance(0.05)
 
 
-def test_an_idle_socket_is_pinged_and_an_unresponsive_one_is_closed() -> None:
-    reactor, session, transport = connect()
+def test_an_idle_connection_is_pinged_and_an_unresponsive_one_is_closed() -> None:
+    reactor, connection, transport = connect()
     pass_time(reactor, 25)
     assert transport.value() == frame(0x89, b"", masked=False)
-    session.dataReceived(frame(0x8A, b""))  # a pong
+    connection.dataReceived(frame(0x8A, b""))  # a pong
     pass_time(reactor, 59)
     assert not transport.aborted
     pass_time(reactor, 2)
@@ -45,34 +45,34 @@
 
 @pytest.mark.parametrize("received", [
     b"", HANDSHAKE[:30], HANDSHAKE + b"\x81", HANDSHAKE + frame(0x01, b"{", masked=True)])
-def test_a_socket_with_an_incomplete_handshake_or_message_is_closed_in_time(received: bytes) -> None:
+def test_a_connection_with_an_incomplete_handshake_or_message_is_closed_in_time(received: bytes) -> None:
     reactor, transport = Clock(), cast(Any, FakeTransport)()
     front = CallFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
-    session = cast(Any, front.buildProtocol(None))
-    session.makeConnection(transport)
+    connection = cast(Any, front.buildProtocol(None))
+    connection.makeConnection(transport)
     if received:
-        session.dataReceived(received)
+        connection.dataReceived(received)
     pass_time(reactor, 2)
     assert not transport.aborted
     pass_time(reactor, 1)
     assert transport.aborted
 
 
-def test_a_set_up_with_the_id_of_an_open_call_and_other_fields_does_not_affect_it() -> None:
-    _, session, _ = connect()
-    front = session.front
-    now_ms = session.front.router.now_us() // 1000
+def test_a_set_up_with_the_id_of_a_pending_call_and_other_fields_does_not_affect_it() -> None:
+    _, connection, _ = connect()
+    front = connection.front
+    now_ms = connection.front.router.now_us() // 1000
     set_up = api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000)
-    front.on_request(session, set_up)
+    front.on_request(connection, set_up)
     with pytest.raises(api.InvalidMessageError):
-        front.on_request(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000, description="other"))
-    front.on_request(session, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000))  # a repeat
+        front.on_request(connection, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000, description="other"))
+    front.on_request(connection, api.SetUp("1" * 16, "ledger-read", "5", 1, now_ms + 3000))  # a repeat
     assert front.calls["1" * 16].set_up is set_up
     assert front.counts["ws_set_ups"] == 1
 
 
 def test_a_client_that_does_not_read_is_not_read_from() -> None:
-    reactor, session, transport = connect()
+    reactor, connection, transport = connect()
     producer = cast(Any, transport.producer)
     producer.pauseProducing()
     assert transport.producerState == "paused"
@@ -80,18 +80,18 @@
     assert transport.producerState == "producing"
     producer.pauseProducing()
     pass_time(reactor, 9)
-    session.dataReceived(frame(0x8A, b"", masked=True))
+    connection.dataReceived(frame(0x8A, b"", masked=True))
     assert not transport.aborted
     pass_time(reactor, 2)
     assert transport.aborted
 
 
 def test_the_end_of_a_call_is_kept_for_the_retention_period() -> None:
-    reactor, session, _ = connect()
-    front = session.front
-    front.on_request(session, api.SetUp("0" * 16, "ledger-read", "5", 9, 0))  # its deadline has passed
+    reactor, connection, _ = connect()
+    front = connection.front
+    front.on_request(connection, api.SetUp("0" * 16, "ledger-read", "5", 9, 0))  # its deadline has passed
     assert isinstance(front.calls["0" * 16].last_message, api.Refused)
-    for _ in range(11):
+    for _ in range(11):  # 55 s of 60 s
         reactor.advance(5)
     assert front.calls
     reactor.advance(5)
