--- a/astertrack/plan/compiled.py
+++ b/astertrack/plan/compiled.py
@@ -44,24 +44,26 @@
 DIGITS = "0123456789abcdef"
 
 Target = Prefix | Barred | Alias | Range
-# The value of a prefix in the trie. Equal values share one object: a plain prefix has only its exchange number.
-Value = int | Barred | Alias | Range
+# The value of a prefix in the trie. To save memory, a plain prefix has only its exchange number, and all prefixes of a
+# range share its record.
+PrefixValue = int | Barred | Alias | Range
 
 
 @dataclass(frozen=True, slots=True, weakref_slot=True)
 class Plan:
     """A validated plan. Shared by all calls that were admitted while it was in force."""
 
-    prefixes: PrefixTrie[Value] = field(default_factory=PrefixTrie)
-    records_by_kind: dict[str, dict[str, Any]] = field(default_factory=dict)  # records other than prefixes: kind -> key
-    state: int = 0  # digest of all records, independent of their order
+    prefixes: PrefixTrie[PrefixValue] = field(default_factory=PrefixTrie)
+    # By kind and then by key: all records but those of the kinds "prefix" and "barred", which only the trie holds.
+    records_by_kind: dict[str, dict[str, Any]] = field(default_factory=dict)
+    state: int = 0  # digest of all records, independent of their order: the `state` of a version's header
     size: int = 0  # number of records
 
     def records_of(self, kind: str) -> dict[str, Any]:
         """Return the records of a kind that is not looked up by number, as a mapping from key to record."""
         return self.records_by_kind.get(kind, {})
 
-    def target(self, number: str) -> Value | None:
+    def target(self, number: str) -> PrefixValue | None:
         """Return the value of the longest matching prefix, with aliases followed; None if no prefix matches."""
         for _ in range(MAX_ALIASES + 1):
             hit = self.prefixes.match(number)
@@ -124,13 +126,15 @@
         return [first]
     head, low, high = first[:common], first[common], last[common]
     first_suffix, last_suffix = first[common + 1:], last[common + 1:]
-    # Decimal ranges stay decimal: they cover no prefix with a letter unless one of their bounds has a letter.
+    # Decimal ranges stay decimal: they cover no prefix with a letter unless one of their bounds has a letter. Each call
+    # decides this by its own arguments: within a00 to b19 the recursion takes 00 to 19 for decimal and returns b1,
+    # which also covers b1a to b1f.
     digits = DIGITS if any(char > "9" for char in first + last) else DIGITS[:10]
     prefixes: list[str] = []
     low_complete = first_suffix.strip(digits[0]) == ""
     high_complete = last_suffix.strip(digits[-1]) == ""
     if low_complete and high_complete and low == digits[0] and high == digits[-1]:
-        return [head] if head else list(digits)
+        return [head] if head else list(digits)  # all numbers of this length; an empty prefix is not permitted
     if not low_complete:
         prefixes += [head + low + suffix for suffix in covering_prefixes(first_suffix, digits[-1] * len(first_suffix))]
     middle = digits[digits.index(low) + (not low_complete):digits.index(high) + high_complete]
@@ -143,17 +147,19 @@
 class PlanBuilder:
     """Builds a Plan from records, in full or as a delta on a base plan.
 
-    Pass lines to apply(), run validate() to its end, then call finish(). Both of the former raise PlanError.
+    Pass lines to apply(), run validate() to its end, then call finish(). apply() and validate() raise PlanError, after
+    which the builder must not be used any more. A delta on an empty plan is built like a full version.
     """
 
     def __init__(self, base: Plan | None = None) -> None:
         base = base if base is not None else Plan()
         self._base = base
-        self._prefixes: TrieEditor[Value] = base.prefixes.edit()
+        self._prefixes: TrieEditor[PrefixValue] = base.prefixes.edit()
         self._records_by_kind = {
             kind: dict(base.records_of(kind)) for kind in KINDS if kind not in ("prefix", "barred")}
         self._state, self._size = base.state, base.size
-        self._delta_keys: set[tuple[str, str]] | None = set() if base.size else None  # keys set by a delta
+        # Keys of the records that the delta has set so far; None for a full version.
+        self._delta_keys: set[tuple[str, str]] | None = set() if base.size else None
         self.line_count = 0
         # Exchanges that records refer to, with the first such line and path. Checked once all exchanges are known.
         self._referenced: dict[int, tuple[int, str]] = {}
@@ -170,18 +176,18 @@
         if self._size >= MAX_RECORDS:
             raise self._error(Reason.TOO_MANY, f"at most {MAX_RECORDS} records")
         if self._delta_keys is not None:  # in a delta, a record replaces an earlier one with the same key
-            # Prefixes of all kinds share one key space: a prefix has only one meaning.
+            # Prefix, Barred and Alias share one key space: a prefix has only one meaning.
             kind = "number" if isinstance(line, (Prefix, Barred, Alias)) else type(line).__name__
             kind_key = (kind, line.key())
             if kind_key in self._delta_keys:
-                raise self._error(Reason.DOUBLED, f"the delta already has {line.key()!r}")
+                raise self._error(Reason.DUPLICATE, f"the delta already has {line.key()!r}")
             self._delta_keys.add(kind_key)
         self._check_record(line)
         previous = self._store(line)
         if previous is not None:
             if self._delta_keys is None:
-                raise self._error(Reason.DOUBLED, f"there is a {kind_of(previous)} "
-                                                  f"{previous.key()!r} already")
+                raise self._error(Reason.DUPLICATE, f"there is a {kind_of(previous)} "
+                                                    f"{previous.key()!r} already")
             self._account(previous, -1)
         self._account(line, 1)
 
@@ -207,10 +213,10 @@
         records[record.key()] = record
         return previous
 
-    def _put_prefix(self, digits: str, value: Value) -> Record | None:
+    def _put_prefix(self, digits: str, value: PrefixValue) -> Record | None:
         previous = self._prefixes.put(digits, value)
         if isinstance(previous, Range):
-            raise self._error(Reason.DOUBLED, f"prefix {digits!r} is within the range {previous.key()}", "digits")
+            raise self._error(Reason.DUPLICATE, f"prefix {digits!r} is within the range {previous.key()}", "digits")
         if isinstance(previous, Alias):
             del self._records_by_kind["alias"][digits]
         if isinstance(value, Alias):
@@ -218,7 +224,7 @@
         return self._as_record(digits, previous)
 
     @staticmethod
-    def _as_record(digits: str, value: Value | None) -> Record | None:
+    def _as_record(digits: str, value: PrefixValue | None) -> Record | None:
         return Prefix(digits, value) if isinstance(value, int) else value
 
     def _expand_range(self, record: Any, value: Range | None) -> None:
@@ -228,9 +234,9 @@
                 self._prefixes.remove(digits)
             elif (previous := self._prefixes.put(digits, value)) is not None:
                 other = self._as_record(digits, previous)
-                raise self._error(Reason.DOUBLED, f"prefix {digits!r} of the range already exists as "
-                                                  f"{kind_of(other) if other else ''} "
-                                                  f"{other.key() if other else ''}", "first")
+                raise self._error(Reason.DUPLICATE, f"prefix {digits!r} of the range already exists as "
+                                                    f"{kind_of(other) if other else ''} "
+                                                    f"{other.key() if other else ''}", "first")
 
     def _remove(self, line: Drop) -> None:
         if self._delta_keys is None:
@@ -303,11 +309,11 @@
                     raise self._error(Reason.ROUTE_THROUGH_ITSELF,
                                       f"exchange {tandem} cannot be a tandem on the route to itself", path)
                 if tandem in record.never:
-                    raise self._error(Reason.DOUBLED, f"exchange {tandem} is also in never", path)
+                    raise self._error(Reason.DUPLICATE, f"exchange {tandem} is also in never", path)
                 self._note_reference(tandem, path)
         tandems = [tandem for group in record.over for tandem in group]
         if len(tandems) != len(set(tandems)):
-            raise self._error(Reason.DOUBLED, "each exchange in one group only", "over")
+            raise self._error(Reason.DUPLICATE, "each exchange in one group only", "over")
         for index, tandem in enumerate(record.never):
             if tandem == record.exchange:
                 raise self._error(Reason.ROUTE_THROUGH_ITSELF,
@@ -396,7 +402,7 @@
 
 
 def build(lines: Iterator[PlanLine], base: Plan | None = None) -> Plan:
-    """Build a plan from records in one step, as the command line does. Raises PlanError."""
+    """Build a plan from records without pauses, for callers that process no calls meanwhile. Raises PlanError."""
     builder = PlanBuilder(base)
     for line in lines:
         builder.apply(line)
--- a/astertrack/plan/files.py
+++ b/astertrack/plan/files.py
@@ -63,7 +63,7 @@
 
 
 def record_path(record: Record, records: tuple[Record, ...]) -> str:
-    """Return the position of a record in its file, such as `choice[2]`, for findings that count records."""
+    """Return the position of a record in its file, such as `choice[2]`, where a finding has only a record number."""
     kind = kind_of(record)
     same_kind = [other for other in records if type(other) is type(record)]
     return f"{kind}[{next(index for index, other in enumerate(same_kind) if other is record)}]"
--- a/astertrack/plan/model.py
+++ b/astertrack/plan/model.py
@@ -17,9 +17,10 @@
 from astertrack.checking import split_validation_error
 
 MAX_PREFIX_LENGTH = 32  # characters; a called number has 16 on the platform, 15 by E.164
-MAX_RANGE_PREFIXES = 400  # prefixes that one range may expand to; a range of n digits needs 18 n at most
-MAX_TANDEMS = 64  # excluded exchanges in one choice
-MAX_WAIT_MS = 3_600_000
+# Prefixes per range; a range that needs more is refused. A decimal range of n digits needs 18 n at most.
+MAX_RANGE_PREFIXES = 400
+MAX_EXCLUDED_EXCHANGES = 64  # per choice
+MAX_WAIT_MS = 3_600_000  # one hour; the random extension by `spread` comes on top
 
 ExchangeNumber = Annotated[int, msgspec.Meta(ge=0, lt=2**31, description="the number of an exchange")]
 Digits = Annotated[str, msgspec.Meta(pattern="^[0-9a-f]*$", max_length=MAX_PREFIX_LENGTH)]
@@ -31,33 +32,37 @@
 
 
 class Reason(Enum):
-    """Why a version was refused. The remedies are described in docs/operators/config-versions.md."""
+    """Why a version was refused or rolled back.
+
+    The remedies are described in docs/operators/config-versions.md. The values are reported to the service, and stay.
+    """
 
     SCHEMA = "schema"  # a line is not a record, or a field has an invalid value
-    DOUBLED = "doubled"  # two records with the same key, or two meanings of one prefix
+    DUPLICATE = "doubled"  # two records with the same key, or two meanings of one prefix
     MISSING = "missing"  # a delta removes a record that does not exist
-    UNKNOWN_EXCHANGE = "unknown-exchange"
-    ROUTE_THROUGH_ITSELF = "route-through-itself"
-    ALIAS_LOOP = "alias-loop"
+    UNKNOWN_EXCHANGE = "unknown-exchange"  # a record refers to an exchange that has no record
+    ROUTE_THROUGH_ITSELF = "route-through-itself"  # a choice names its own destination as a tandem or as excluded
+    ALIAS_LOOP = "alias-loop"  # aliases that form a loop, or too many in a row
     NO_ROUTE = "no-route"  # a choice that leaves a destination without any route
-    TOO_MANY = "too-many"
-    TOO_LARGE = "too-large"
-    LENGTH = "length"
-    DIGEST = "digest"
-    STATE = "state"  # the plan that results from a delta differs from the service's plan
-    BASE_MISSING = "base-missing"
-    STALE = "stale"
-    OLD_EPOCH = "old-epoch"
-    TWO_CONTENTS = "two-contents"
-    SUPERSEDED = "superseded"
+    TOO_MANY = "too-many"  # too many records, prefixes of a range, queued or scheduled versions
+    TOO_LARGE = "too-large"  # too many bytes in the version or in a record
+    LENGTH_MISMATCH = "length"  # the lines do not have the number of records or bytes in the header
+    DIGEST_MISMATCH = "digest"  # the lines do not have the digest in the header
+    STATE_MISMATCH = "state"  # the resulting plan does not have the digest (`state`) in the header
+    BASE_MISSING = "base-missing"  # a delta on a version that is neither in force nor scheduled
+    STALE = "stale"  # number not above that of the newest accepted version
+    OLD_EPOCH = "old-epoch"  # epoch before that of the newest accepted version
+    CONFLICTING_CONTENTS = "two-contents"  # a version received before, now with another plan
+    SUPERSEDED = "superseded"  # followed by a newer full version before its validation began
     PROBATION = "probation"  # rolled back: calls fail more often than before
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """An error in a version: its position, and what was expected there.
+    """An error in a version: its position, and what was expected there or is wrong.
 
-    `line` is the number of the record, counted from 1; 0 stands for the version as a whole.
+    `line` is the number of the record, counted from 1; 0 stands for the version as a whole. `path` names the field,
+    such as `over[0][1]`, and is empty if the error concerns no single field.
     """
 
     reason: Reason
@@ -87,7 +92,7 @@
 
 
 class Exchange(_Record, frozen=True, tag="exchange"):
-    """An exchange that other records may refer to, and its zone."""
+    """An exchange and its zone. Other records may refer only to exchanges that have such a record."""
 
     number: ExchangeNumber
     zone: str = ""
@@ -112,7 +117,7 @@
     """Calls to numbers with this prefix are refused at once, with advice on when to retry."""
 
     digits: Digits
-    wait_ms: WaitMs | None = None  # None: the wait of the `told` record for "barred"
+    wait_ms: WaitMs | None = None  # None: the wait that RetryAdvice gives for the cause "barred"
 
     def key(self) -> str:
         """Return the key, unique among the records of this kind."""
@@ -155,8 +160,9 @@
     zone: str = ANY
     direct: bool = True
     over: Annotated[list[list[ExchangeNumber]], msgspec.Meta(max_length=8)] = []
-    never: Annotated[list[ExchangeNumber], msgspec.Meta(max_length=MAX_TANDEMS)] = []
-    any_tandem: bool = True  # whether other tandems may be used when no group of `over` can; `over` empty: any tandem
+    never: Annotated[list[ExchangeNumber], msgspec.Meta(max_length=MAX_EXCLUDED_EXCHANGES)] = []
+    # Whether any other tandem may be used after the groups of `over`. Has no effect if `over` is empty.
+    any_tandem: bool = True
 
     def key(self) -> str:
         """Return the key, unique among the records of this kind."""
@@ -166,19 +172,19 @@
 class Limit(_Record, frozen=True, tag="limit"):
     """The maximum number of concurrent calls and the maximum rate of admitted calls, of the calls that it matches.
 
-    Each router enforces its limits on its own: a figure applies per router. Calls in transit already hold circuits
-    and are counted only if `transit` is set.
+    A call matches by destination, class and number prefix. Each router enforces its limits on its own: a figure applies
+    per router. Calls in transit already hold circuits and are counted only if `transit` is set.
     """
 
     name: Name
-    exchange: ExchangeNumber | None = None
+    exchange: ExchangeNumber | None = None  # destination; None: every destination
     service: str = msgspec.field(default=ANY, name="class")
-    digits: Digits = ""
-    in_hand: Count | None = None
-    per_s: Rate | None = None
-    burst: Annotated[float, msgspec.Meta(ge=1, le=1e6)] = 1.0
+    digits: Digits = ""  # prefix of the called number
+    in_hand: Count | None = None  # maximum number of concurrent calls; None: unlimited
+    per_s: Rate | None = None  # maximum rate of admitted calls per second; None: unlimited
+    burst: Annotated[float, msgspec.Meta(ge=1, le=1e6)] = 1.0  # calls admitted at once after a pause: the bucket size
     transit: bool = False
-    wait_ms: WaitMs | None = None
+    wait_ms: WaitMs | None = None  # None: the wait that RetryAdvice gives for the cause "limit"
 
     def key(self) -> str:
         """Return the key, unique among the records of this kind."""
@@ -188,7 +194,7 @@
 class RetryAdvice(_Record, frozen=True, tag="told"):
     """The retry advice for refused callers, by cause: a wait, extended at random by up to the fraction `spread`."""
 
-    cause: str
+    cause: str  # one of CAUSES
     wait_ms: WaitMs
     spread: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.25
 
@@ -210,8 +216,8 @@
 class Drop(_Record, frozen=True, tag="drop"):
     """In a delta: removes the record of this kind and key."""
 
-    of: str
-    key_: str = msgspec.field(name="key")
+    of: str  # kind of the record
+    key_: str = msgspec.field(name="key")  # as returned by key() of the record
 
 
 Record = Exchange | Prefix | Barred | Alias | Range | Choice | Limit | RetryAdvice | Unmatched
@@ -230,33 +236,33 @@
     return str(record.__struct_config__.tag)
 
 
-def _finding(error: Exception, line: int) -> Finding:
+def _finding(error: Exception, line_number: int) -> Finding:
     """Convert a validation error into a finding with the expected value and the path to the field."""
     expected, path = split_validation_error(error)
-    return Finding(Reason.SCHEMA, expected, line, path)
+    return Finding(Reason.SCHEMA, expected, line_number, path)
 
 
-def read_line(raw: bytes | str, line: int) -> PlanLine:
-    """Decode one line of a version, `line` being its number. Raises PlanError with a finding."""
+def read_line(raw: bytes | str, line_number: int) -> PlanLine:
+    """Decode one line of a version. Raises PlanError with a finding that has the line number."""
     try:
         return _line_decoder.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise PlanError(_finding(error, line)) from None
+        raise PlanError(_finding(error, line_number)) from None
 
 
-def read_table(kind: str, table: object, line: int) -> Record:
+def read_table(kind: str, table: object, line_number: int) -> Record:
     """Decode one TOML table of a plan file. Raises PlanError with a finding."""
     if kind not in KINDS:
         raise PlanError(Finding(Reason.SCHEMA, f"a known kind of record: {', '.join(KINDS)}", 0, kind))
     try:
         record: Record = msgspec.convert(table, KINDS[kind])
     except msgspec.ValidationError as error:
-        raise PlanError(_finding(error, line)) from None
+        raise PlanError(_finding(error, line_number)) from None
     return record
 
 
 def write_line(line: PlanLine) -> bytes:
-    """Encode a record in its canonical wire form, over which its digest is computed."""
+    """Encode a record or a Drop in its canonical wire form, over which the digest of a record is computed."""
     return _line_encoder.encode(line)
 
 
--- a/astertrack/plan/policy.py
+++ b/astertrack/plan/policy.py
@@ -20,17 +20,17 @@
 DEFAULT_WAITS_MS = {"barred": 60_000, "limit": 2_000, "unmatched": 10_000, "no-route": 5_000}
 # Fraction of a wait by which it is extended at random, where the plan gives none: callers must not retry in step.
 DEFAULT_SPREAD = 0.25
-MAX_BUCKETS = 4_096  # limits whose token buckets are kept; a plan has no more limits that matter
+MAX_BUCKETS = 4_096  # token buckets kept, one per limit with a rate; no plan is expected to use more at a time
 
 
 @dataclass(slots=True)
 class RouteQuery:
     """The properties of a call on which its route depends."""
 
-    number: str
+    number: str  # called number
     dest: int  # destination given by the caller; -1: none
-    service: str
-    transit: bool
+    service: str  # class of the call
+    transit: bool  # whether the call comes from another router and not from a caller
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +122,7 @@
 
     def _check_limits(self, limits: dict[str, Limit], query: RouteQuery, dest: int,
                       now_us: int) -> tuple[Limit | None, list[Limit]]:
-        """Return the first limit that is reached, and all that match. Tokens are taken only if no limit is reached."""
+        """Return the first limit that is reached, and all that match. Tokens are taken only if none is reached."""
         matching = [limit for limit in limits.values() if limit_applies(limit, query, dest)]
         for limit in matching:
             if limit.in_hand is not None and self.in_hand[limit.name] >= limit.in_hand:
--- a/astertrack/versions/machine.py
+++ b/astertrack/versions/machine.py
@@ -39,9 +39,11 @@
 MAX_SCHEDULED_VERSIONS = 16  # accepted versions that are not in force yet; each holds its changes in memory
 MAX_QUEUED_VERSIONS = 256  # versions that wait for validation
 # Refusals caused by the transmission or the order of versions: the same version may arrive again, intact or in order.
-RETRYABLE_REASONS = {Reason.LENGTH, Reason.DIGEST, Reason.BASE_MISSING, Reason.STALE, Reason.OLD_EPOCH, Reason.TOO_MANY,
-                     Reason.SUPERSEDED, Reason.TWO_CONTENTS, Reason.STATE}
-FULL_VERSION_REASONS = {Reason.LENGTH, Reason.DIGEST, Reason.BASE_MISSING, Reason.STATE}
+RETRYABLE_REASONS = {Reason.LENGTH_MISMATCH, Reason.DIGEST_MISMATCH, Reason.BASE_MISSING, Reason.STALE,
+                     Reason.OLD_EPOCH, Reason.TOO_MANY, Reason.SUPERSEDED, Reason.CONFLICTING_CONTENTS,
+                     Reason.STATE_MISMATCH}
+# Refusals after which a full version is requested: the lines were incomplete or corrupt, or the base is not available.
+FULL_VERSION_REASONS = {Reason.LENGTH_MISMATCH, Reason.DIGEST_MISMATCH, Reason.BASE_MISSING, Reason.STATE_MISMATCH}
 
 
 @dataclass(frozen=True, slots=True)
@@ -207,8 +209,9 @@
         seen = self._seen.get(header.id)
         if seen is not None:
             if seen[0] != header.state:
-                return None, Finding(Reason.TWO_CONTENTS, f"the plan {seen[0][:16]}..., as when version {header.id} "
-                                                          f"was first received; got {header.state[:16]}...")
+                return None, Finding(
+                    Reason.CONFLICTING_CONTENTS, f"the plan {seen[0][:16]}..., as when version {header.id} "
+                                                 f"was first received; got {header.state[:16]}...")
             return None, Finding(Reason.SUPERSEDED, "already received")  # the previous verdict is repeated
         if self.newest is not None and header.epoch < self.newest.epoch:
             return None, Finding(Reason.OLD_EPOCH, f"epoch {self.newest.epoch} or later", 0, "epoch")
--- a/astertrack/versions/receiving.py
+++ b/astertrack/versions/receiving.py
@@ -66,8 +66,9 @@
             self._byte_count += len(line) + 1
             self._line_count += 1
             if self._byte_count > self.header.octets or self._line_count > self.header.records:
-                self.refuse(Finding(Reason.LENGTH, f"{self.header.records} records of {self.header.octets} bytes, "
-                                                    "as in the header; received more"))
+                self.refuse(Finding(
+                    Reason.LENGTH_MISMATCH, f"{self.header.records} records of {self.header.octets} bytes, "
+                                            "as in the header; received more"))
                 return
             if len(line) > MAX_LINE_BYTES:
                 self.refuse(Finding(Reason.TOO_LARGE, f"a record of at most {MAX_LINE_BYTES} bytes", self._line_count))
@@ -85,10 +86,12 @@
         if self.phase is not Phase.OPEN:
             return
         if (self._byte_count, self._line_count) != (self.header.octets, self.header.records):
-            self.refuse(Finding(Reason.LENGTH, f"{self.header.records} records of {self.header.octets} bytes, as "
-                                                f"in the header; received {self._line_count} of {self._byte_count}"))
+            self.refuse(Finding(
+                Reason.LENGTH_MISMATCH, f"{self.header.records} records of {self.header.octets} bytes, as "
+                                        f"in the header; received {self._line_count} of {self._byte_count}"))
         elif self._digest.hexdigest() != self.header.digest:
-            self.refuse(Finding(Reason.DIGEST, f"lines with the digest {self.header.digest[:16]}..., as in the header"))
+            self.refuse(Finding(
+                Reason.DIGEST_MISMATCH, f"lines with the digest {self.header.digest[:16]}..., as in the header"))
         elif self._provisional_finding is not None:
             self.refuse(self._provisional_finding)
         else:
@@ -124,8 +127,9 @@
     def _finish(self, builder: PlanBuilder) -> None:
         plan = builder.finish()
         if f"{plan.state:064x}" != self.header.state:
-            self.refuse(Finding(Reason.STATE, f"a plan with the digest {self.header.state[:16]}..., as in the header; "
-                                               f"got {plan.state:064x}"[:140]))
+            self.refuse(Finding(
+                Reason.STATE_MISMATCH, f"a plan with the digest {self.header.state[:16]}..., as in the header; "
+                                       f"got {plan.state:064x}"[:140]))
             return
         self.plan, self.phase, self._validation, self._builder = plan, Phase.CHECKED, None, None
 
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -159,14 +159,14 @@
 
 @pytest.mark.parametrize(("lines", "reason", "position"), [
     ([Prefix("5", 9)], Reason.UNKNOWN_EXCHANGE, 1),
-    ([Prefix("5", 1), Prefix("5", 2)], Reason.DOUBLED, 2),
-    ([Prefix("5", 1), Barred("5")], Reason.DOUBLED, 2),
-    ([Range("50", "59", 1), Prefix("5", 1)], Reason.DOUBLED, 2),
+    ([Prefix("5", 1), Prefix("5", 2)], Reason.DUPLICATE, 2),
+    ([Prefix("5", 1), Barred("5")], Reason.DUPLICATE, 2),
+    ([Range("50", "59", 1), Prefix("5", 1)], Reason.DUPLICATE, 2),
     ([Range("59", "50", 1)], Reason.SCHEMA, 1),
     ([Choice(1, over=[[2], [1]])], Reason.ROUTE_THROUGH_ITSELF, 1),
     ([Choice(1, over=[[2], [9]])], Reason.UNKNOWN_EXCHANGE, 1),
     ([Choice(1, never=[1])], Reason.ROUTE_THROUGH_ITSELF, 1),
-    ([Choice(1, over=[[2]], never=[2])], Reason.DOUBLED, 1),
+    ([Choice(1, over=[[2]], never=[2])], Reason.DUPLICATE, 1),
     ([Choice(1, direct=False, any_tandem=False)], Reason.NO_ROUTE, 1),
     ([Limit("x")], Reason.SCHEMA, 1),
     ([RetryAdvice("whim", 1)], Reason.SCHEMA, 1),
