--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -294,7 +294,7 @@
             self._run_in_thread("keep", lambda: files.save(action.header, action.text))
             return
         id = action.id
-        if files.chain_too_long(id) and self.versions.in_force is not None and self.versions.in_force.id == id:
+        if files.is_chain_too_long(id) and self.versions.in_force is not None and self.versions.in_force.id == id:
             self._write_full_version(id, self.versions.in_force.plan)
         else:
             self._run_in_thread("point", lambda: files.set_current(id))
--- a/astertrack/store/versions.py
+++ b/astertrack/store/versions.py
@@ -21,7 +21,7 @@
 from astertrack.versions import Header, VersionId, read_header, write_header
 
 CURRENT_POINTER, PREVIOUS_POINTER = "current", "previous"
-MAX_CHAIN_DELTAS = 64  # deltas on one full version; beyond it a full version is written
+MAX_CHAIN_DELTAS = 64  # on one full version; the version with the last of them is then written in full, too
 
 
 class StoreError(Exception):
@@ -105,7 +105,7 @@
         self._chains[header.id] = [*base_chain, _ChainLink(name, digest)]
         return True
 
-    def chain_too_long(self, id: VersionId) -> bool:
+    def is_chain_too_long(self, id: VersionId) -> bool:
         """Return whether a version is built from so many deltas that it should be written as a full version."""
         return len(self._chains.get(id, ())) > MAX_CHAIN_DELTAS
 
--- a/astertrack/versions/__init__.py
+++ b/astertrack/versions/__init__.py
@@ -1,6 +1,6 @@
 """Versions of the routing plan: which is accepted, which is in force for a call, and which is rolled back.
 
-Decides, on the clock that it is given: whether a version from a control service is acceptable now (epochs, numbers,
+Decides, by the clock that it is given: whether a version from a control service is acceptable now (epochs, numbers,
 deltas and their bases), whether it is valid (in small steps, so that calls are processed in between), from which time
 on it is in force, and whether the calls that it affects fail more often than chance allows, in which case it is rolled
 back (a difference of log odds ratios, Altman and Bland 2003, pooled over zones as by Woolf 1955).
--- a/astertrack/versions/machine.py
+++ b/astertrack/versions/machine.py
@@ -1,6 +1,6 @@
 """The state machine of versions: their order of arrival, which one is in force, and which one is rolled back.
 
-Its inputs are the events of the control wire, the time, and the outcomes of calls; its outputs are the version in
+Its inputs are the events of the control stream, the time, and the outcomes of calls; its outputs are the version in
 force at a given time and actions for its driver. It validates at most one version at a time, in small steps: each call
 of run_step() runs one.
 
@@ -71,12 +71,16 @@
         self.counts: Counter[str] = Counter()
         self._queue: deque[VersionReceiver] = deque()  # versions without a verdict, oldest first
         self._receiving: VersionReceiver | None = None  # the version whose lines are arriving
-        self._seen: OrderedDict[VersionId, tuple[str, Report]] = OrderedDict()
+        # By version, oldest first: the digest of its plan, and the latest report on it.
+        self._known_versions: OrderedDict[VersionId, tuple[str, Report]] = OrderedDict()
         self._full_requested_for: VersionId | None = None  # version for which a full one was requested
         self._actions: list[Action] = []
         self._seq = 0
-        self._recent_outcomes, self._outcomes_since = RecentOutcomes(), RecentOutcomes()
-        self._uncompared: Iterator[CallOutcome] | None = None  # calls before a version, not yet compared
+        # Outcomes of calls under the settled version, and under the version on probation, which replace the former when
+        # that version is settled.
+        self._recent_outcomes, self._probation_outcomes = RecentOutcomes(), RecentOutcomes()
+        # Calls before the version on probation that are still to be classified as affected by it or not.
+        self._unclassified: Iterator[CallOutcome] | None = None
 
     def take_actions(self) -> list[Action]:
         """Return the pending actions in order, and clear them."""
@@ -85,17 +89,17 @@
 
     @property
     def unchecked_bytes(self) -> int:
-        """Received bytes that have not been validated. The reader of the wire should pause while there are many."""
+        """Received bytes that have not been validated. The reader of the stream should pause while there are many."""
         return sum(receiver.unchecked_bytes for receiver in self._queue)
 
     @property
     def has_work(self) -> bool:
         """Return whether run_step() has something to do."""
-        return self._uncompared is not None or any(
+        return self._unclassified is not None or any(
             receiver.phase is not Phase.OPEN or (receiver.started and receiver.unchecked_bytes > 0)
             for receiver in self._queue)
 
-    # ---- events of the control wire
+    # ---- events of the control stream
 
     def receive_header(self, raw: bytes | str, now_us: int) -> None:
         """Process the header of a version. A previous version that has not ended is dropped."""
@@ -150,8 +154,8 @@
 
     def run_step(self, now_us: int) -> bool:
         """Run one small step of validation, of some microseconds. Returns False if there is nothing to do now."""
-        if self._uncompared is not None:
-            self._compare_next()
+        if self._unclassified is not None:
+            self._classify_next()
             return True
         if not self._queue:
             return False
@@ -162,14 +166,15 @@
         return True
 
     def _advance_queue(self, now_us: int) -> None:
-        """Start validation of the oldest version, and remove those with a verdict from the queue."""
+        """Start validation of the oldest queued version, and remove the versions that have a verdict."""
         while self._queue:
             head = self._queue[0]
             if head.phase in (Phase.OPEN, Phase.COMPLETE) and not head.started:
                 base, finding = self._check_order(head.header)
                 if finding is not None:
                     head.refuse(finding)
-                    remembered = self._seen.get(head.header.id)
+                    remembered = self._known_versions.get(head.header.id)
+                    # _check_order() gives this reason for a version that was received before with the same plan.
                     if finding.reason is Reason.SUPERSEDED and remembered is not None:
                         self._queue.popleft()
                         self._repeat_report(remembered[1])
@@ -206,13 +211,13 @@
 
     def _check_order(self, header: Header) -> tuple[Plan | None, Finding | None]:
         """Check the order of a version. Returns the base plan of a delta, or a finding if it is not acceptable now."""
-        seen = self._seen.get(header.id)
+        seen = self._known_versions.get(header.id)
         if seen is not None:
             if seen[0] != header.state:
                 return None, Finding(
                     Reason.CONFLICTING_CONTENTS, f"the plan {seen[0][:16]}..., as when version {header.id} "
                                                  f"was first received; got {header.state[:16]}...")
-            return None, Finding(Reason.SUPERSEDED, "already received")  # the previous verdict is repeated
+            return None, Finding(Reason.SUPERSEDED, "already received")  # _advance_queue() repeats the previous verdict
         if self.newest is not None and header.epoch < self.newest.epoch:
             return None, Finding(Reason.OLD_EPOCH, f"epoch {self.newest.epoch} or later", 0, "epoch")
         if self.newest is not None and header.id <= self.newest:
@@ -265,9 +270,9 @@
         self.activate_due(now_us)
 
     def _remember(self, header: Header, report: Report) -> None:
-        self._seen[header.id] = (header.state, report)
-        if len(self._seen) > MAX_REMEMBERED_VERDICTS:
-            self._seen.popitem(last=False)
+        self._known_versions[header.id] = (header.state, report)
+        if len(self._known_versions) > MAX_REMEMBERED_VERDICTS:
+            self._known_versions.popitem(last=False)
 
     def _repeat_report(self, report: Report) -> None:
         """Repeat a verdict for a service that sends a version again, for example because it lost the first report."""
@@ -289,8 +294,8 @@
                       to: str = "") -> None:
         """Report the state of a version, and remember the report as its latest one."""
         report = self._report(id, state, at_us, finding, to)
-        if (seen := self._seen.get(id)) is not None:
-            self._seen[id] = (seen[0], report)
+        if (seen := self._known_versions.get(id)) is not None:
+            self._known_versions[id] = (seen[0], report)
         self.counts[f"versions_{state.value}".replace("-", "_")] += 1
 
     def _log(self, event: str, **values: object) -> None:
@@ -302,7 +307,7 @@
         """Start with the version that was loaded from the store."""
         self.in_force = self.settled = ActiveVersion(id, plan, now_us)
         self.newest = id
-        self._seen[id] = (f"{plan.state:064x}", self._report(id, VersionState.ACCEPTED, now_us))
+        self._known_versions[id] = (f"{plan.state:064x}", self._report(id, VersionState.ACCEPTED, now_us))
         self._report_state(id, VersionState.IN_FORCE, now_us)
 
     def activate_due(self, now_us: int) -> ActiveVersion | None:
@@ -321,13 +326,13 @@
             self._settle(new.since_us)
             return
         self.probation = Probation(new.since_us, self.settings.probation_us)
-        self._outcomes_since = RecentOutcomes()
-        self._uncompared = iter(list(self._recent_outcomes.outcomes))
+        self._probation_outcomes = RecentOutcomes()
+        self._unclassified = iter(list(self._recent_outcomes.outcomes))
 
     def _settle(self, at_us: int) -> None:
         assert self.in_force is not None
-        self.settled, self.probation, self._uncompared = self.in_force, None, None
-        self._recent_outcomes, self._outcomes_since = self._outcomes_since, RecentOutcomes()
+        self.settled, self.probation, self._unclassified = self.in_force, None, None
+        self._recent_outcomes, self._probation_outcomes = self._probation_outcomes, RecentOutcomes()
         self._report_state(self.in_force.id, VersionState.SETTLED, at_us)
         self._actions.append(SetCurrentVersion(self.in_force.id))
 
@@ -341,11 +346,11 @@
         zone = self.settings.zone
         return find_route(self.in_force.plan, query, zone) != find_route(self.settled.plan, query, zone)
 
-    def _compare_next(self) -> None:
-        """Classify the next call from before the version as affected by it or not."""
-        outcome = next(self._uncompared, None) if self._uncompared is not None else None
+    def _classify_next(self) -> None:
+        """Classify the next call from before the version on probation as affected by it or not."""
+        outcome = next(self._unclassified, None) if self._unclassified is not None else None
         if outcome is None or self.probation is None:
-            self._uncompared = None
+            self._unclassified = None
         else:
             self.probation.add_before(outcome, self.affects(outcome))
 
@@ -356,7 +361,7 @@
         if self.probation is None:
             self._recent_outcomes.add(outcome)
         else:
-            self._outcomes_since.add(outcome)
+            self._probation_outcomes.add(outcome)
             self.probation.add_since(outcome, self.affects(outcome))
 
     def mark_disturbed(self, zone: str) -> None:
@@ -370,7 +375,7 @@
     def tick(self, now_us: int) -> None:
         """Run periodic work: put due versions in force, and evaluate a version on probation."""
         self.activate_due(now_us)
-        if self.probation is None or self._uncompared is not None or now_us < self.probation.next_evaluation_us():
+        if self.probation is None or self._unclassified is not None or now_us < self.probation.next_evaluation_us():
             return
         verdict, statistics = self.probation.evaluate(now_us)
         if verdict is Verdict.WORSE:
@@ -380,7 +385,7 @@
                 self.counts["versions_undecided"] += 1
                 assert self.in_force is not None
                 self._log("version could not be judged and stays", version=str(self.in_force.id),
-                          calls=statistics.calls)
+                          calls=statistics.affected_calls)
             self._settle(now_us)
 
     def _roll_back(self, statistics: ProbationStatistics, now_us: int) -> None:
@@ -389,9 +394,11 @@
         failed, self.probation = self.in_force, None
         self.in_force = ActiveVersion(self.settled.id, self.settled.plan, now_us)
         self.settled = self.in_force
-        finding = Finding(Reason.PROBATION, f"calls to fail no more often than before: {statistics.before:.1%} of the "
-                          f"affected calls failed before it, {statistics.since:.1%} of {statistics.calls} since "
-                          f"(z = {statistics.z:.1f})")
+        finding = Finding(
+            Reason.PROBATION, "calls to fail no more often than before: "
+                              f"{statistics.failure_ratio_before:.1%} of the affected calls failed before it, "
+                              f"{statistics.failure_ratio_since:.1%} of {statistics.affected_calls} since "
+                              f"(z = {statistics.z:.1f})")
         self._report_state(failed.id, VersionState.ROLLED_BACK, now_us, finding, to=str(self.settled.id))
         self._log("version rolled back", version=str(failed.id), to=str(self.settled.id), finding=str(finding))
 
--- a/astertrack/versions/model.py
+++ b/astertrack/versions/model.py
@@ -17,7 +17,9 @@
 # A version with 100,000 prefixes has 5 MiB. Six times that bounds what a faulty service can send; the settings may
 # give another limit.
 MAX_VERSION_BYTES = 32 * 2**20
-MAX_LINE_BYTES = 4 * 1024  # the longest valid record, a choice over 64 tandems, has less than 1,000
+# The longest common record, a choice with 64 exchanges, has less than 1,000 bytes. The number of tandems in the groups
+# of a choice has no other limit.
+MAX_LINE_BYTES = 4 * 1024
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -115,14 +117,18 @@
 
 
 class Report(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A status report of a router on one version. `boot` and `seq` identify it, so that duplicates are recognised."""
+    """A status report of a router on one version.
 
-    router: str
-    boot: str
+    `router`, `boot` and `seq` identify it, so that duplicates are recognised. After a refusal or a rollback, `reason`,
+    `line`, `path` and `expected` have the Finding.
+    """
+
+    router: str  # name of the router
+    boot: str  # identifies the process of the router, in which `seq` rises
     seq: int
     epoch: int
     number: int
-    stand: str
+    stand: str  # value of a VersionState
     at_us: int  # time of the change of state
     reason: str = ""
     line: int = 0
--- a/astertrack/versions/offering.py
+++ b/astertrack/versions/offering.py
@@ -98,8 +98,8 @@
     def __init__(self) -> None:
         self._seen: OrderedDict[tuple[str, str, int], None] = OrderedDict()
         self.latest: dict[tuple[str, VersionId], Report] = {}  # by router and version
-        self.in_force: dict[str, Report] = {}  # by router
-        self.repeated = 0
+        self.in_force: dict[str, Report] = {}  # latest report of a version in force or settled, by router
+        self.duplicate_count = 0  # reports that were received before
 
     def add(self, reports: list[Report]) -> list[Report]:
         """Add a batch of reports; return those that are not duplicates."""
@@ -107,7 +107,7 @@
         for report in reports:
             report_id = (report.router, report.boot, report.seq)
             if report_id in self._seen:
-                self.repeated += 1
+                self.duplicate_count += 1
                 continue
             self._seen[report_id] = None
             if len(self._seen) > MAX_REMEMBERED_REPORTS:
--- a/astertrack/versions/probation.py
+++ b/astertrack/versions/probation.py
@@ -8,14 +8,16 @@
 
     theta = (logit a1 - logit a0) - (logit u1 - logit u0),   var = sum over the eight cells of 1 / (n + 1/2),
 
-with 1/2 added to every cell (Haldane 1956, Anscombe 1956). The difference of two log odds ratios is tested as in
+where a and u are the failure ratios of affected and unaffected calls, 0 before the version and 1 since then. A cell is
+the number n of failed or successful calls behind one of the four ratios; 1/2 is added to every cell (Haldane 1956,
+Anscombe 1956). The difference of two log odds ratios is tested as in
 Altman and Bland ("Interaction revisited: the difference between two estimates", BMJ 326:219, 2003), and zones are
 pooled with inverse variances (Woolf 1955). Where a zone has too few unaffected calls for a comparison, the change of
 the affected calls is used alone, but only while the zone is undisturbed: without a comparison, failures in a zone that
 is cut off or during a surge say nothing about the version.
 
-The version is evaluated MAX_EVALUATIONS times. The probability of a false alarm over all evaluations together is at
-most ALPHA (Bonferroni correction), one-sided.
+The version is tested MAX_EVALUATIONS times at most. The probability of a false alarm over all tests together is at most
+ALPHA (Bonferroni correction), one-sided.
 """
 
 from __future__ import annotations
@@ -27,7 +29,7 @@
 from statistics import NormalDist
 
 ALPHA = 0.001  # probability that a harmless version is rolled back, over all its evaluations
-MAX_EVALUATIONS = 5  # per version
+MAX_EVALUATIONS = 5  # per probation period; later ones follow at the same interval while there are too few calls
 MIN_FAILURE_INCREASE = 0.05  # of the failure ratio; a smaller increase is not worth a rollback
 MIN_AFFECTED_CALLS = 20  # before and since each; fewer are not enough for a verdict
 MIN_UNAFFECTED_CALLS = 20  # before and since each; fewer are not enough for a comparison
@@ -63,10 +65,10 @@
 class ProbationStatistics:
     """The figures on which a verdict is based."""
 
-    z: float
-    before: float  # failure ratio of the affected calls before the version
-    since: float  # failure ratio of the affected calls since then
-    calls: int  # number of affected calls since then
+    z: float  # test statistic in standard deviations; 0 if there are too few calls for a test
+    failure_ratio_before: float  # of the affected calls before the version
+    failure_ratio_since: float  # of the affected calls since then
+    affected_calls: int  # number of affected calls since then
     zones: int  # number of zones that contributed
 
 
@@ -107,13 +109,14 @@
         """Evaluate the calls so far. Counts as one of the evaluations."""
         self.evaluations += 1
         statistics = self._statistics(now_us)
-        if statistics.z > critical_z() and statistics.since - statistics.before >= MIN_FAILURE_INCREASE:
+        if statistics.z > critical_z() and (
+                statistics.failure_ratio_since - statistics.failure_ratio_before >= MIN_FAILURE_INCREASE):
             return Verdict.WORSE, statistics
         if self.evaluations < MAX_EVALUATIONS:
             return Verdict.OPEN, statistics
-        # Without enough calls the probation stays open. Each further test is one more chance of a false alarm, so none
-        # is made once there are enough calls.
-        enough = statistics.calls >= MIN_AFFECTED_CALLS and statistics.zones > 0
+        # Each test is one more chance of a false alarm, so after the last evaluation of the period the version is kept.
+        # The probation stays open only while there are too few calls, since evaluations of too few calls test nothing.
+        enough = statistics.affected_calls >= MIN_AFFECTED_CALLS and statistics.zones > 0
         if enough:
             return Verdict.KEPT, statistics
         is_overdue = now_us - self.since_us >= MAX_PERIODS * self.period_us
--- a/astertrack/versions/receiving.py
+++ b/astertrack/versions/receiving.py
@@ -15,7 +15,7 @@
     """The phases of reception: OPEN -> COMPLETE -> CHECKED, or from the first two to REFUSED. There is no way back."""
 
     OPEN = "open"  # more lines may arrive
-    COMPLETE = "whole"  # all lines have arrived, but not all of them have been validated
+    COMPLETE = "complete"  # all lines have arrived, but not all of them have been validated
     CHECKED = "checked"  # `plan` is valid
     REFUSED = "refused"  # `finding` says why
 
--- a/astertrack/versions/reports.py
+++ b/astertrack/versions/reports.py
@@ -7,18 +7,19 @@
 
 from astertrack.versions.model import Report, VersionState
 
-MAX_PENDING_REPORTS = 4_096  # beyond it the oldest reports in a transient state are dropped first, and counted
+MAX_PENDING_REPORTS = 4_096  # beyond it the oldest reports of FIRST_DROPPED_STATES are dropped first, and counted
 MAX_BATCH_REPORTS = 256  # per message
-MIN_RETRY_US, MAX_RETRY_US = 200_000, 10_000_000  # exponential backoff between attempts, doubling
-TRANSIENT_STATES = {VersionState.ACCEPTED.value, VersionState.SUPERSEDED.value, VersionState.SETTLED.value}
+MIN_BACKOFF_US, MAX_BACKOFF_US = 200_000, 10_000_000  # exponential backoff between attempts, doubling
+# States whose reports are dropped first when the queue is full.
+FIRST_DROPPED_STATES = {VersionState.ACCEPTED.value, VersionState.SUPERSEDED.value, VersionState.SETTLED.value}
 
 
 class Outbox:
     """Pending reports by sequence number. One batch is in flight at a time; unacknowledged reports are sent again."""
 
-    def __init__(self, source: random.Random) -> None:
+    def __init__(self, random_source: random.Random) -> None:
         self._pending: OrderedDict[int, Report] = OrderedDict()
-        self._random = source
+        self._random = random_source
         self._failures = 0
         self.dropped = 0
         self.in_flight = False
@@ -30,8 +31,8 @@
     def add(self, report: Report) -> None:
         """Add a report to be sent."""
         if len(self._pending) >= MAX_PENDING_REPORTS:
-            # Refusals and the version in force stay relevant for longest; transient states of old versions go first.
-            discarded = next((seq for seq, pending in self._pending.items() if pending.stand in TRANSIENT_STATES),
+            # Refusals, rollbacks and the version in force stay relevant for longest.
+            discarded = next((seq for seq, pending in self._pending.items() if pending.stand in FIRST_DROPPED_STATES),
                              next(iter(self._pending)))
             del self._pending[discarded]
             self.dropped += 1
@@ -59,6 +60,6 @@
         The backoff doubles with each failure and has jitter, so that routers do not retry in step.
         """
         self.in_flight = False
-        backoff_us = min(MAX_RETRY_US, MIN_RETRY_US << min(self._failures, 16))
+        backoff_us = min(MAX_BACKOFF_US, MIN_BACKOFF_US << min(self._failures, 16))
         self._failures += 1
         self.not_before_us = now_us + int(backoff_us * (0.5 + 0.5 * self._random.random()))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -178,7 +178,7 @@
         node = await BinaryNode().start()
         service.publish(VersionId(1, 1), make_plan(Prefix("5", 1)))
         async with program({1: node}, versions=make_settings(service)):
-            await until(lambda: service.report_log.repeated >= 3)  # received, but not confirmed to the router
+            await until(lambda: service.report_log.duplicate_count >= 3)  # received, but not confirmed to the router
             service.answers = "deaf"
             messages = service.messages
             await until(lambda: service.messages > messages)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -466,7 +466,7 @@
     batch = [report(1), report(2, "in-force")]
     assert report_log.add(read_reports(write_reports(batch))) == batch
     assert report_log.add(batch) == []
-    assert report_log.repeated == 2
+    assert report_log.duplicate_count == 2
     assert [(latest.number, latest.stand)
             for latest in report_log.latest_reports()] == [(2, "in-force"), (1, "accepted")]
     for malformed in (b"{", b"[1]", b"\xff"):
@@ -606,5 +606,5 @@
     assert save(files, make_version(1, plans[1]))
     for number in range(2, MAX_CHAIN_DELTAS + 2):
         assert save(files, make_version(number, plans[number], base=plans[number - 1], base_number=number - 1))
-    assert files.chain_too_long(VersionId(1, MAX_CHAIN_DELTAS + 1))
-    assert not files.chain_too_long(VersionId(1, MAX_CHAIN_DELTAS))
+    assert files.is_chain_too_long(VersionId(1, MAX_CHAIN_DELTAS + 1))
+    assert not files.is_chain_too_long(VersionId(1, MAX_CHAIN_DELTAS))
