--- a/astertrack/gossip/codec.py
+++ b/astertrack/gossip/codec.py
@@ -22,9 +22,10 @@
 from astertrack.gossip.replay import MAX_CLOCK_SKEW_US, ReplayFilter, ReplayResult
 
 DOMAIN = b"astertrack gossip 1\0"  # domain separation: no signature made for another purpose is valid here
-MAX_KEYS_PER_MEMBER = 4  # valid at the same time: an old and a new key, twice over
+MAX_KEYS_PER_MEMBER = 4  # in the key ring, valid now or not: room for two rotations with an old and a new key each
 MAX_VERIFICATIONS_PER_SECOND = 2_000  # some 130 us each: at most a quarter of a core
-UNKNOWN_SENDERS_FRACTION = 0.1  # of these for non-members and for members that send from another address
+# Fraction of these for unknown senders: non-members, and members that send from another address.
+UNKNOWN_SENDERS_FRACTION = 0.1
 MAX_VERIFICATIONS_PER_MEMBER = 100  # per second, so that a flooding member leaves the others their share
 MAX_CACHED_SIGNATURES = 8_192  # of claims, because the same claim arrives from many members
 
@@ -116,10 +117,12 @@
 
 
 class _Envelope(msgspec.Struct, frozen=True, array_like=True):
+    """The envelope of a message; the signature covers all fields before it."""
+
     version: UnsignedInt
     sender: Name
     epoch: UnsignedInt  # start of the sender, in milliseconds of its clock
-    sequence: UnsignedInt
+    sequence: UnsignedInt  # rises with each message of the sender in this epoch
     sent_at_ms: UnsignedInt
     body: Annotated[bytes, msgspec.Meta(max_length=256 * 1024)]
     signature: Signature
@@ -136,7 +139,7 @@
 
 
 class VerificationBudget:
-    """The number of signature verifications per second: in total, for unknown senders, and for each member."""
+    """Limits on signature verifications in each second of the clock: in total, for unknown senders, and per member."""
 
     def __init__(self, now_us: int) -> None:
         self._total = self._unknown_senders = 0.0
@@ -175,7 +178,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """A datagram that is dropped. The reason becomes part of a counter's name."""
+    """A message that is dropped. The reason becomes part of a counter's name.
+
+    "other release": another protocol version. "no key": no key of the sender is valid now, or the sender is this
+    instance. "skewed": the clocks differ by more than MAX_CLOCK_SKEW_US. "no time": the verification budget of this
+    second is used up. "heard ...": rejected by the replay filter, followed by its ReplayResult.
+    """
 
     reason: str
 
--- a/astertrack/gossip/membership.py
+++ b/astertrack/gossip/membership.py
@@ -7,7 +7,7 @@
 - An Alive or Leave claim counts only if its subject signed it, so no member can declare another one alive.
 - There is no claim of death, so no member can declare another one dead. A Suspect claim is only its accuser's
   statement, and each instance decides by its own timers what follows from it. Accusers whose suspicions are refuted
-  lose weight (see trust.py); below a minimum weight, an accuser's claim alone does not start a suspicion.
+  lose weight (see trust.py); below a minimum weight, an accuser's Suspect claims are ignored.
 """
 
 from __future__ import annotations
@@ -48,10 +48,10 @@
 )
 from astertrack.gossip.trust import Trust
 
-ENVELOPE_BYTES = 200  # reserved in a datagram for the envelope, the signature and the message's own fields
+RESERVED_BYTES = 200  # of a datagram, for the envelope, the signature and the fields of the message other than claims
 MAX_MEMBERS = 4_096  # known at once; claims of further names are ignored
 NACK_TIMEOUT_FRACTION = 0.8  # of the time that a helper has for its answer; then it sends a nack (Lifeguard)
-MAX_SYNC_CLAIM_BYTES = 64 * 1024  # per message of a sync; not enforced. A view of 1,000 members takes twice that
+MAX_SYNC_CLAIM_BYTES = 64 * 1024  # per Sync; not used, so not enforced. A view of 1,000 members takes twice that
 encoder = msgspec.msgpack.Encoder()
 
 
@@ -137,7 +137,8 @@
         self.local_health = 0  # Lifeguard's local health multiplier: 0 is healthy
         self.is_leaving = False
         self.counts: Counter[str] = Counter()
-        self.server_reports: list[ServerReport] = []  # received and verified, for the evaluation of servers
+        # Received and verified, for the evaluation of servers. The caller has to remove them.
+        self.server_reports: list[ServerReport] = []
         self._actions: list[Action] = []
         # The rest of a shuffled round of probe targets: each member is probed within two rounds.
         self._probe_order: list[str] = []
@@ -246,7 +247,7 @@
     def _select_claims(self, prioritized: Iterable[Claim] = ()) -> list[Claim]:
         """Return the claims to piggyback on a message, the prioritized ones first."""
         selected = list(prioritized)
-        remaining_bytes = (self.settings.max_datagram_bytes - ENVELOPE_BYTES
+        remaining_bytes = (self.settings.max_datagram_bytes - RESERVED_BYTES
                            - sum(len(encoder.encode(claim)) for claim in selected))
         return selected + [claim for claim in self.updates.take(remaining_bytes, self.retransmit_limit())
                            if claim not in selected]
@@ -257,7 +258,10 @@
     # ---- probing
 
     def _start_probe(self, now_us: int) -> None:
-        """Probe the next member of the round; the interval grows with local health (Lifeguard: LHA-Probe)."""
+        """Probe the next member of the round, after forgetting members that have been gone for long.
+
+        The interval and the timeout grow with the local health multiplier (Lifeguard: LHA-Probe).
+        """
         self._schedule(now_us + self.settings.probe_interval_us * (self.local_health + 1), TimerKind.PROBE, None)
         self._forget_gone_members(now_us)
         if self.is_leaving:
@@ -271,6 +275,7 @@
         self._send_ping(member, probe.seq, suspicions)
         self._schedule(
             now_us + self.settings.probe_timeout_us * (self.local_health + 1), TimerKind.PROBE_TIMEOUT, probe)
+        # 1 us before the next probe starts, since that replaces self._probe.
         self._schedule(
             now_us + self.settings.probe_interval_us * (self.local_health + 1) - 1, TimerKind.PROBE_END, probe)
 
@@ -410,7 +415,11 @@
                 self._compare_digests(sender, ack.digest, now_us)
 
     def _compare_digests(self, sender: str, digest: int, now_us: int) -> None:
-        """Start a sync with an instance whose digest has differed for long: updates were lost on the way."""
+        """Start a sync with the sender if digests have differed for long, because updates were then lost on the way.
+
+        Counted are consecutive comparisons with any members. A sender that is dead or has left in this view is synced
+        with at once, since it is evidently alive.
+        """
         if digest == self.digest():
             self._digest_mismatches = 0
             return
@@ -466,7 +475,10 @@
                         self.server_reports.append(claim)
 
     def _verify_claim(self, claim: Claim) -> bool:
-        """Return whether a claim's signature is valid; only claims that would change the state are verified."""
+        """Return whether a claim's signature is valid; only claims that would change the state are verified.
+
+        A claim that exceeds the verification budget counts as invalid, too.
+        """
         if self._claim_signer.verify(claim.signer, claim.signed_fields(), claim.signature):
             return True
         self.counts["claims_unsigned"] += 1
@@ -485,6 +497,7 @@
         if (member is None and len(self.members) >= MAX_MEMBERS) or not self._verify_claim(claim):
             return
         if member is None:
+            # Dead at first, so that _update_member() below reports the change to ALIVE.
             self.members[claim.name] = member = Member(claim, State.DEAD, now_us)
             # At a random place, so that the new member is probed within the current round.
             self._probe_order.insert(self._random.randrange(len(self._probe_order) + 1), claim.name)
@@ -540,6 +553,7 @@
             reason = "probe not answered" if confirmed_locally else f"suspected by {claim.accuser}"
             self._update_member(member, member.claim, State.SUSPECT, now_us, reason)
         suspicion.confirmed_locally = suspicion.confirmed_locally or confirmed_locally
+        # Kept are the first accuser and as many others as there are required confirmations.
         if claim.accuser not in suspicion.accusers and len(suspicion.accusers) <= self.settings.required_confirmations:
             suspicion.accusers[claim.accuser] = claim
             self._disseminate(claim)
@@ -575,7 +589,7 @@
     def _refute(self, incarnation: int, now_us: int) -> None:
         """Disseminate an Alive claim with a higher incarnation, which refutes all suspicions of earlier ones.
 
-        For a suspicion of an earlier incarnation, the refutation of the last half period is enough.
+        A suspicion of an earlier incarnation is not refuted again within half a probe interval of the last refutation.
         """
         if now_us - self._last_refutation_us < self.settings.probe_interval_us // 2 and (
                 incarnation < self.own_claim.incarnation):
--- a/astertrack/gossip/model.py
+++ b/astertrack/gossip/model.py
@@ -163,7 +163,10 @@
 
 
 class Sync(_Message, frozen=True, tag=5):
-    """The sender's whole view, sent over a stream. `wants_reply` requests the receiver's view in return."""
+    """The claims of all members that the sender regards as live, sent over a stream.
+
+    `wants_reply` requests those of the receiver in return.
+    """
 
     wants_reply: bool
     claims: ClaimList = []
@@ -200,10 +203,13 @@
     """
 
     probe_interval_us: int = 1_000_000  # one member is probed per interval: SWIM's protocol period T'
-    # Timeout of a direct probe, after which helpers are asked: several round trips of 60 ms and a slow reactor turn.
+    # Timeout of a direct probe, after which helpers are asked: covers several round trips of up to 60 ms and a slow
+    # reactor turn.
     probe_timeout_us: int = 300_000
-    indirect_probes: int = 3  # helpers per probe, SWIM's k; at a loss of one third, 1 in 27 probes gets no help
-    # The minimum suspicion timeout is this many periods times log10 of the number of members (Lifeguard: alpha 5).
+    # Helpers per probe, SWIM's k. If each helper fails with probability 1/3, all three fail in 1 of 27 probes.
+    indirect_probes: int = 3
+    # The minimum suspicion timeout is this many probe intervals times log10 of the number of members (Lifeguard uses
+    # alpha = 5).
     suspicion_multiplier: float = 4.0
     max_suspicion_multiplier: float = 6.0  # times the minimum while nobody confirms the suspicion (Lifeguard: beta 6)
     required_confirmations: int = 3  # after which the minimum timeout applies (Lifeguard: K 3)
@@ -215,8 +221,8 @@
     dead_member_retention_us: int = 120_000_000  # dead members are remembered and retried for this long
     rejoin_interval_us: int = 4_000_000  # between attempts to reach dead members and seeds, which heals partitions
     min_sync_interval_us: int = 3_000_000  # between syncs that this instance starts
-    # After this many consecutive probes with different digests a sync reconciles the views: although no member was
-    # unreachable, an update was lost.
+    # After this many consecutive probes with different digests a sync reconciles the views: an update was lost,
+    # although no member appeared unreachable. While updates are still spreading, more are needed.
     max_digest_mismatches: int = 12
 
 
--- a/astertrack/gossip/trust.py
+++ b/astertrack/gossip/trust.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 
 # Neither value comes from the papers. After one half-life an instance's refuted claims count half; after four refuted
-# claims its weight is below the minimum, and its claim alone no longer starts a suspicion.
+# claims within a short time its weight is below the minimum, and its suspicions are ignored until it recovers.
 REFUTATION_HALF_LIFE_US = 60_000_000
 MIN_ACCEPTED_WEIGHT = 0.25
 MAX_TRACKED_MEMBERS = 4_096
@@ -15,8 +15,9 @@
 class Trust:
     """Weights by instance name, from 0 to 1: 1 / (1 + refuted claims), where refuted claims decay with a half-life.
 
-    Healthy instances also make wrong claims under packet loss. One refuted suspicion halves an instance's weight for a
-    minute, which delays a justified suspicion by less time than its spread by other members saves.
+    Healthy instances also make wrong claims under packet loss. One refuted suspicion halves an instance's weight, which
+    then recovers within minutes. The lower weight delays the end of a justified suspicion by less time than the
+    confirmations by other members save.
     """
 
     def __init__(self) -> None:
@@ -39,5 +40,5 @@
         return 1.0 / (1.0 + self._current_refutations(name, now_us))
 
     def is_accepted(self, name: str, now_us: int) -> bool:
-        """Return whether a claim of this instance alone may start a suspicion."""
+        """Return whether suspicions of this instance count at all."""
         return self.weight(name, now_us) >= MIN_ACCEPTED_WEIGHT
--- a/astertrack/versions/probation.py
+++ b/astertrack/versions/probation.py
@@ -10,11 +10,11 @@
 
 where a and u are the failure ratios of affected and unaffected calls, 0 before the version and 1 since then. A cell is
 the number n of failed or successful calls behind one of the four ratios; 1/2 is added to every cell (Haldane 1956,
-Anscombe 1956). The difference of two log odds ratios is tested as in
-Altman and Bland ("Interaction revisited: the difference between two estimates", BMJ 326:219, 2003), and zones are
-pooled with inverse variances (Woolf 1955). Where a zone has too few unaffected calls for a comparison, the change of
-the affected calls is used alone, but only while the zone is undisturbed: without a comparison, failures in a zone that
-is cut off or during a surge say nothing about the version.
+Anscombe 1956). The difference of two log odds ratios is tested as in Altman and Bland ("Interaction revisited: the
+difference between two estimates", BMJ 326:219, 2003), and zones are pooled with inverse variances (Woolf 1955).
+Where a zone has too few unaffected calls for a comparison, the change of the affected calls is used alone, but only
+while the zone is undisturbed: without a comparison, failures in a zone that is cut off or during a surge say nothing
+about the version.
 
 The version is tested MAX_EVALUATIONS times at most. The probability of a false alarm over all tests together is at most
 ALPHA (Bonferroni correction), one-sided.
--- a/laboratory/gossip_world.py
+++ b/laboratory/gossip_world.py
@@ -1,8 +1,8 @@
 """A simulation of the gossip protocol in virtual time: the program's state machines on a simulated network.
 
 It covers loss, delay, duplication, reordering, partitions, one-way links, skewed clocks, pauses, churn and lying
-members, all from one seed. Signatures are replaced by tags that only the signer can make. The state machines cannot
-tell them from real signatures, and a simulation of a thousand instances avoids a thousand signatures per second.
+members, all from one seed. Signatures are replaced by tags that name their signer. The state machines cannot tell them
+from real signatures, and a simulation of a thousand instances avoids a thousand signatures per second.
 """
 
 from __future__ import annotations
@@ -21,13 +21,17 @@
 from astertrack.gossip.model import Alive, GossipSettings, MemberChanged, Message, OpenStream, Ping, Send, State, Sync
 
 ENVELOPE_BYTES = 64 + 48  # what the codec adds to a message: signature, sender and numbers
-STREAM_OVERHEAD_BYTES = ENVELOPE_BYTES + 5 * 40  # per message, with the packets that open and close the stream
+# Per message over a stream: the envelope, and five packets of 40 bytes that open and close the stream.
+STREAM_OVERHEAD_BYTES = ENVELOPE_BYTES + 5 * 40
 RETRANSMIT_TIMEOUT_US = 200_000  # for a lost packet of a stream: the minimum of common systems
 encoder = msgspec.msgpack.Encoder()
 
 
 class TagSigner:
-    """A ClaimSigner whose tags only the signer can make and everyone can verify, at negligible cost."""
+    """A ClaimSigner with a hash in place of a signature, at negligible cost.
+
+    All instances of a simulation share the secret, but sign() makes only tags of its own name.
+    """
 
     def __init__(self, name: str, secret: int) -> None:
         self.name, self._secret = name, secret
