--- a/astertrack/core/gate.py
+++ b/astertrack/core/gate.py
@@ -1,9 +1,9 @@
 """The gate: the ordered chain of admission policies that every call offered at any front passes before the module.
 
 A policy may resolve a call's destination, constrain the exchanges that its set-ups may use, or refuse it with a wait.
-Servers, retries and load shedding among admitted calls are decided by the module. Each policy is notified exactly
-once of the final result of a call that it admitted, and exactly once that the call has ended, in reverse order of
-admission, also where a later policy refused the call.
+The module, ospreylug.logic, chooses exchanges, retries and sheds load among admitted calls. Each policy is notified
+exactly once of the final result of a call that it admitted, and exactly once that the call has ended, also if a later
+policy refused the call. Both notifications go through the policies in reverse order of admission.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from astertrack.core.model import FinalResult, LogFunction, Request
 from ospreylug import interface as io
 
-FAULT_WAIT_US = 1_000_000  # after which a caller may retry that was refused because a fail_closed policy raised
+FAULT_WAIT_US = 1_000_000  # wait before a retry, given if a fail_closed policy raised an exception
 Tiers = tuple[frozenset[int] | None, ...]
 
 
@@ -43,6 +43,7 @@
             return RouteConstraint(self.tiers or other.tiers, never)
         common = [a if b is None else b if a is None else a & b for a in self.tiers for b in other.tiers]
         usable = tuple(tier for tier in common if tier is None or tier - never)
+        # One empty tier permits no exchange, whereas no tiers at all would permit every exchange.
         return RouteConstraint(usable or (frozenset(),), never)
 
 
@@ -51,7 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Approval:
-    """A policy's consent to a call. `dest` replaces its destination unless None; `token` comes back with each event."""
+    """A policy's consent to a call, whose destination `dest` replaces unless it is None.
+
+    `token` is the policy's own state of the call; it is passed to the policy's other methods.
+    """
 
     dest: int | None = None
     constraint: RouteConstraint = UNCONSTRAINED
@@ -61,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A policy's refusal of a call: the cause, and after how many microseconds its caller may retry."""
+    """A policy's refusal of a call: the cause, and the wait in microseconds after which the caller may retry."""
 
     cause: str
     wait_us: int
@@ -69,11 +73,14 @@
 
 
 class Policy(Protocol):
-    """An admission policy. It decides from its arguments and notifications only: no I/O, no clock but now_us."""
+    """An admission policy. It decides from its arguments and notifications only: no I/O, no clock but now_us.
+
+    `token` is the token of its Approval of the call.
+    """
 
     name: str
     # Whether a call is refused if the policy raises an exception. True where admitting a call does more harm than
-    # refusing it (access rights); False where refusing does more harm (routes, gaps).
+    # refusing it (access rights); False where refusing does more harm (routes, call gapping).
     fail_closed: bool
 
     def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
@@ -126,7 +133,7 @@
             self._gate.notify(policy, "final", token, request, result, now_us)
 
     def notify_ended(self, request: Request, now_us: int) -> None:
-        """Notify the policies that the call has ended; further calls of this method have no effect."""
+        """Notify the policies that the call has ended; when called again, do nothing."""
         approvals, self._approvals = self._approvals, []
         for policy, token in reversed(approvals):
             self._gate.notify(policy, "over", token, request, now_us)
@@ -138,13 +145,13 @@
     def __init__(self, policies: Sequence[Policy], log: LogFunction, counts: Counter[str],
                  resolves_destination: bool = False) -> None:
         self.policies, self.log, self.counts = tuple(policies), log, counts
-        self.resolves_destination = resolves_destination  # True: calls may come without one, as a policy supplies it
-        self._unconditional = Admission(self)  # shared by all calls if there are no policies
+        self.resolves_destination = resolves_destination  # True: a policy supplies it for calls offered without one
+        self._empty_admission = Admission(self)  # without policies: shared by all calls, since it has no state
 
     def admit(self, request: Request, now_us: int) -> Admission | Refusal:
         """Ask the policies in order; the first refusal is final. May set the request's destination."""
         if not self.policies:
-            return self._unconditional
+            return self._empty_admission
         admission = Admission(self)
         for policy in self.policies:
             try:
--- a/astertrack/core/model.py
+++ b/astertrack/core/model.py
@@ -15,11 +15,11 @@
 
 @dataclass(slots=True)
 class Request:
-    """A call to be set up. Its deadline is absolute, in microseconds of the Unix clock."""
+    """A call to be set up. Its deadline, after which the caller no longer waits, is absolute Unix microseconds."""
 
     call_id: str
-    service: int  # index of the call's class in the settings
-    service_name: str
+    service: int  # index of the call's class in io.Settings.classes
+    service_name: str  # name of the class
     dest: int  # number of the destination exchange; -1: a policy of the gate supplies it
     number: str  # the called number
     deadline_us: int
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class AttemptEnd:
-    """How a peer ended an attempt or the established call that resulted from it."""
+    """How an attempt, or the established call that resulted from it, ended, as reported by its peer or the router."""
 
     outcome: io.Outcome
     cause: io.Cause = io.Cause.NONE
@@ -47,12 +47,12 @@
     ANSWERED = "answered"
     REFUSED = "refused"
     FAILED = "failed"
-    CANCELLED = "given up"  # by the caller, which gets no answer then
+    CANCELLED = "given up"  # cancelled by the caller, which gets no answer then
 
 
 @dataclass(slots=True)
 class CallRecord:
-    """A row of the call records: the final result of a call, or the end of an established one."""
+    """A row of the call records: the final result of a call, or the end of an established one. Times: Unix us."""
 
     call: str
     at_us: int
@@ -62,15 +62,16 @@
     dest: int
     transit: bool
     attempts: int
-    peer: str
+    peer: str  # peer of the current attempt; empty: there is none
     taken_us: int = 0  # when the call was accepted
     version: str = ""  # version of the routing plan that applied to the call; empty: none did
 
 
 class Caller(Protocol):
-    """The side that offered a call. Each call gets at most one of on_answered, on_refused and on_failed.
+    """The side that offered a call.
 
-    A call that its caller does not cancel gets exactly one of them.
+    For each call it receives exactly one of on_answered, on_refused and on_failed, or none if it cancels the call
+    before.
     """
 
     def on_answered(self, call_id: str, description: bytes) -> None:
--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -29,12 +29,14 @@
 from ospreylug.logic import Controller
 
 # The router refuses a call that is still unanswered this long before its deadline, and a call offered with less time
-# left at once. A longer margin costs calls: some callers wait only 110 to 160 ms; a margin of 100 ms left their set-ups
-# 7 to 60 ms, where an answer takes 40 ms. The few answers that a busy router then gives too late cost no more than the
-# short margin gains.
+# left at once. A longer margin costs calls: some callers wait only 110 to 160 ms. With a margin of 100 ms and the time
+# before the set-up is sent, 7 to 60 ms remained for an answer, which takes about 40 ms. With the short margin a busy
+# router answers a few calls too late, which costs no more than the margin gains.
 ANSWER_MARGIN_US = 10_000
-ORPHAN_WINDOW_US = 60_000_000  # after a start, in which peers may release calls set up by the previous process
-RETRY_WAIT_US = 1_000_000  # after which a caller may retry that the router itself refused
+# Time after a start in which releases of unknown calls are passed on: an orphan is a call that the previous process of
+# this router set up and that is still established at a peer.
+ORPHAN_WINDOW_US = 60_000_000
+RETRY_WAIT_US = 1_000_000  # wait before a retry, given with refusals that neither the gate nor the module decided
 # Outcomes after which the peer may have executed the set-up: a new attempt has to wait for the release.
 POSSIBLY_EXECUTED = (io.Outcome.TIMEOUT, io.Outcome.CUT, io.Outcome.CALLED_OFF)
 
@@ -51,12 +53,12 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A current call: unanswered, or established."""
+    """A current call: unanswered, or established. Times are Unix microseconds."""
 
     request: Request
     caller: Caller
     accepted_us: int
-    answer_by_us: int
+    answer_by_us: int  # the request's deadline less ANSWER_MARGIN_US
     admission: Admission | None = None  # None: the call has not passed the gate
     label: str = ""  # the gate's label, such as the version of the routing plan
     guard_timer: Timer | None = None  # refuses the call if nothing else has answered it by answer_by_us
@@ -67,7 +69,11 @@
 
 
 class Router:
-    """The calls of one exchange. Events arrive through its methods; answers and set-ups leave through its ports."""
+    """The current calls of one router, and the decision module that it consults.
+
+    Fronts and peers report events by calling its methods; answers and set-ups leave through the ports of
+    astertrack.core.model.
+    """
 
     def __init__(self, settings: io.Settings, seed: int, clock: Clock, peers: Peers, log: LogFunction,
                  record: Callable[[CallRecord], None],
@@ -80,10 +86,10 @@
         self.calls_by_peer: dict[str, dict[str, Call]] = {}  # calls with a pending or established attempt, by peer
         self.roster: dict[str, io.Entry] = {}
         self.free_circuits: dict[str, float] = {}  # in the trunk group to a peer, as last reported
-        self.round_trip_us: dict[str, int] = {}  # shortest time that a peer took to end an attempt
+        self.round_trip_us: dict[str, int] = {}  # estimate by peer: the shortest time from a set-up to its rejection
         self.counts: Counter[str] = counts if counts is not None else Counter()
         self.gate = gate if gate is not None else Gate((), log, self.counts)
-        self._seen_calls: set[str] | None = set()  # calls of this process; None after the orphan window
+        self._seen_calls: set[str] | None = set()  # ids of this process's calls; None after the orphan window
         clock.call_at(clock.now_us() + ORPHAN_WINDOW_US, self._close_orphan_window)
         self._events: deque[io.Event] = deque()
         self._is_dispatching = False
@@ -92,7 +98,7 @@
     # ---- requests of callers
 
     def offer(self, request: Request, caller: Caller) -> bool:
-        """Accept a call; return False if a call with this id is current already."""
+        """Accept a call; return False if a call with this id is already current."""
         if request.call_id in self.calls:
             self.counts["offers_repeated"] += 1
             return False
@@ -233,14 +239,15 @@
                 self.free_circuits.pop(peer, None)
                 self.on_peer_lost(peer)  # a peer that is gone sends no releases
             elif new.started_us and new.started_us != old.started_us:
-                for call in list(self.calls_by_peer.get(peer, {}).values()):  # of its previous process
+                # The peer has restarted: its previous process held the calls that were sent to it before.
+                for call in list(self.calls_by_peer.get(peer, {}).values()):
                     if call.is_established and call.attempt and call.attempt.sent_us < new.started_us:
                         self._end_by_peer(call, AttemptEnd(io.Outcome.CUT))
 
     # ---- actions of the module
 
     def now_us(self) -> int:
-        """Return the time in microseconds; for the module it never runs backwards."""
+        """Return the Unix time in microseconds, never less than before, even if the clock is set back."""
         self._now_us = max(self._now_us, self.clock.now_us())
         return self._now_us
 
@@ -265,10 +272,10 @@
             self._is_dispatching = False
 
     def _subtract_unseen_set_ups(self, peer: str, load: io.Load) -> io.Load:
-        """Subtract the circuits of set-ups that the peer had not yet received from the free ones that it reported.
+        """Subtract from the reported free circuits those of set-ups that had not arrived when the peer sent its report.
 
-        Without this, every call queued for a full group would be sent as soon as one circuit is free, since each
-        report is a round trip late: set-ups sent within the last round trip had not arrived when the report left.
+        These are the set-ups sent within the last round trip. Without the correction, one free circuit would be used
+        for several queued calls: each report that does not yet include the previous set-up would release another one.
         """
         if load.free is None:
             return load
@@ -306,6 +313,7 @@
                 pass  # the bulletin is read anyway, and routers cannot send messages to each other
 
     def _set_up(self, call_id: str, peer: str, deadline_us: int) -> None:
+        """Send a set-up, or report to the module that it was not sent: no circuit is free or a rule forbids it."""
         call = self._find_unanswered(call_id)
         if call is None:
             return
@@ -345,7 +353,7 @@
             self._cancel_attempt(call, io.Outcome.TIMEOUT, settled=False)
 
     def _refuse_overdue(self, call: Call) -> None:
-        """Refuse a call that the module has left unanswered, so that its faults cost no call its answer."""
+        """Refuse a call that the module has left unanswered: its faults must not cost a call its answer."""
         if self.calls.get(call.request.call_id) is not call or call.is_established:
             return
         self.counts["answers_by_guard"] += 1
@@ -360,6 +368,7 @@
             self._end_attempt(call, AttemptEnd(outcome), settled)
 
     def _end_attempt(self, call: Call, end: AttemptEnd, settled: bool) -> None:
+        """End the attempt of a call. `settled`: the call has its final answer, so that no further attempt follows."""
         attempt, call.attempt = call.attempt, None
         if attempt is None:
             return
