--- a/astertrack/__main__.py
+++ b/astertrack/__main__.py
@@ -17,7 +17,7 @@
 
 
 def main(environ: Mapping[str, str] = os.environ) -> int:
-    """Run a router until it is told to stop. Returns the exit code: 0, or 2 if it could not start."""
+    """Run a router until a signal stops it. Returns the exit code: 0, or 2 if it could not start."""
     try:
         config = read_config(environ)
         logs.configure(config.gateway.log_format, config.gateway.log_level)
@@ -30,7 +30,7 @@
 
 
 def serve(config: Config, reactor: Any) -> int:
-    """Run a router on a reactor until it is told to stop. Raises ConfigError and OSError if it cannot start."""
+    """Run a router on a reactor until a signal stops it. Raises ConfigError and OSError if it cannot start."""
     app = App(config, reactor)
     app.start()
 
@@ -43,8 +43,9 @@
         handle_signal(signal.SIGUSR1, app.print_counts)
         handle_signal(signal.SIGHUP, app.reload)
 
-    gc.freeze()  # objects that exist now live until the end: collections need not scan them
-    gc.set_threshold(1_000, 20, 1_000)  # many short pauses, since a single one of 80 ms delays every call
+    gc.freeze()  # objects that exist now live until the end: garbage collections need not scan them
+    # Many short garbage collections instead of few long ones: a single pause of 80 ms delays every call.
+    gc.set_threshold(1_000, 20, 1_000)
     reactor.callWhenRunning(install_signal_handlers)
     reactor.run()
     app.print_counts()
--- a/astertrack/app.py
+++ b/astertrack/app.py
@@ -25,13 +25,15 @@
 from ospreylug import interface as io
 
 log = structlog.get_logger()
-LATE_ARRIVALS_WINDOW_US = 900_000  # after SIGTERM connections arrive for 0.4 s and set-ups for 0.2 s; with a reserve
+# How long a stop still accepts connections and calls: after SIGTERM connections arrive for 0.4 s and set-ups for 0.2 s;
+# the rest is a reserve.
+LATE_ARRIVALS_WINDOW_US = 900_000
 ESTABLISHED_TIMEOUT_US = 3_200_000  # how long a stop waits for established calls; SIGKILL comes after 3.7 s
 STOP_CHECK_INTERVAL_US = 50_000  # between checks whether all calls have ended
 STORE_CLOSE_TIMEOUT_US = 2_000_000  # how long a stop waits for the store
 LISTEN_BACKLOG = 512
-# Shares of the file descriptors. Callers in use hold a third of all descriptors at most; the rest of the shares is for
-# connections that never send anything.
+# Fractions of the file descriptors that connections of SIP and of WebSocket callers may hold. Callers in use hold at
+# most a third of all descriptors; the remainder of these fractions is for connections that never send anything.
 SIP_DESCRIPTOR_RATIO, API_DESCRIPTOR_RATIO = 0.625, 0.125
 
 
@@ -43,7 +45,7 @@
         self.counts: Counter[str] = Counter()
         self.clock = ReactorClock(reactor)
         self.store = make_store(config.gateway.store, config.gateway.database, reactor, self.counts)
-        self.peers = PeerTable(self._link, config.settings.home, self.clock)
+        self.peers = PeerTable(self._make_link, config.settings.home, self.clock)
         self.parts = load_parts(PartContext(config, reactor, self.clock, self.counts, self.peers))
         policies = [policy for part in self.parts for policy in part.policies()]
         self.router = Router(config.settings, config.seed, self.clock, self.peers, log.info, self.store.record,
@@ -59,9 +61,9 @@
         self.bulletin = Bulletin(config.bulletin, config.known_last, config.zones, config.kinds, self.clock,
                                  self.counts, lambda complete, changed: self._apply_roster(
                                      io.RosterKind.REPLACE if complete else io.RosterKind.UPDATE, changed))
-        self.stop_us: int | None = None  # when the stop was requested
+        self.stop_requested_us: int | None = None
 
-    def _link(self, endpoint: Endpoint) -> Link:
+    def _make_link(self, endpoint: Endpoint) -> Link:
         name, dial_us = endpoint.entry.exchange, self.config.dial_us
         link: Link
         if name in self.destination_paths:
@@ -77,9 +79,9 @@
         self.sip_front.release(call_id, cause)
 
     def start(self) -> None:
-        """Load the known peers, start the parts, listen, and follow the bulletin."""
+        """Load the peers of the configuration, start the parts, listen, and follow the bulletin."""
         config = self.config
-        endpoints: dict[str, Endpoint] = {}
+        endpoints: dict[str, Endpoint] = {}  # by name
         for raw in config.known:
             try:
                 _, complete, changed = read_event(raw, config.zones, config.kinds)
@@ -89,9 +91,9 @@
             if complete:
                 endpoints = {}
             endpoints.update({endpoint.entry.exchange: endpoint for endpoint in changed})
-        listed = [endpoint for endpoint in endpoints.values()
-                  if endpoint.entry.readiness is not io.Readiness.GONE]
-        self._apply_roster(io.RosterKind.RESTORED, listed)
+        initial_peers = [endpoint for endpoint in endpoints.values()
+                         if endpoint.entry.readiness is not io.Readiness.GONE]
+        self._apply_roster(io.RosterKind.RESTORED, initial_peers)
         for part in self.parts:
             part.start(self.router)
         self.listeners.append(self.reactor.listenTCP(
@@ -104,7 +106,7 @@
                 port, self.api_front, backlog=LISTEN_BACKLOG, interface=host))
         if config.bulletin:
             self.bulletin.dial()
-        log.info("serving", name=config.name, host=config.host, port=config.port, peers=len(listed))
+        log.info("serving", name=config.name, host=config.host, port=config.port, peers=len(initial_peers))
 
     def _apply_roster(self, kind: io.RosterKind, endpoints: list[Endpoint]) -> None:
         if kind is not io.RosterKind.UPDATE:  # configured destinations belong to every complete list
@@ -133,10 +135,13 @@
             self.bulletin.switch_address(address)
 
     def stop(self) -> None:
-        """Finish accepted calls, and accept late arrivals for a while, as the platform's planned restarts require."""
-        if self.stop_us is not None:
+        """Finish accepted calls, and accept late arrivals for a while, as the platform's planned restarts require.
+
+        Further calls of this method have no effect.
+        """
+        if self.stop_requested_us is not None:
             return
-        self.stop_us = self.clock.now_us()
+        self.stop_requested_us = self.clock.now_us()
         log.info("stopping", calls=len(self.router.calls), unanswered=self.router.count_unanswered())
         self.clock.call_at(self.clock.now_us() + LATE_ARRIVALS_WINDOW_US, self._close)
 
@@ -150,8 +155,9 @@
     def _finish(self) -> None:
         # Established calls need no router: their peers release them to the next process. Releases are passed on until
         # the timeout, but not until the platform's SIGKILL, which would leave the store and the counters unwritten.
-        waiting = self.router.calls and self.clock.now_us() < (self.stop_us or 0) + ESTABLISHED_TIMEOUT_US
-        if waiting or self.router.count_unanswered():
+        waits_for_releases = self.router.calls and (
+            self.clock.now_us() < (self.stop_requested_us or 0) + ESTABLISHED_TIMEOUT_US)
+        if waits_for_releases or self.router.count_unanswered():
             self.clock.call_at(self.clock.now_us() + STOP_CHECK_INTERVAL_US, self._finish)
         elif self.reactor.running:
             for client in list(self.api_front.connections) if self.api_front is not None else ():
@@ -169,7 +175,7 @@
         os._exit(0)
 
     def print_counts(self) -> None:
-        """Print the counters on one line of standard error."""
+        """Print the counters as one line on standard error."""
         self.counts["store_waiting"] = self.store.pending_count()
         for part in self.parts:
             part.update_counters()
--- a/astertrack/checking.py
+++ b/astertrack/checking.py
@@ -1,4 +1,4 @@
-"""Helpers for the validation errors of configuration files and messages."""
+"""Splitting of the validation errors of msgspec, for the messages about configuration files and documents."""
 
 from __future__ import annotations
 
--- a/astertrack/config.py
+++ b/astertrack/config.py
@@ -31,17 +31,17 @@
     name: str
     address: str
     path: str
-    number: int
-    zone: int
+    number: int  # of its exchange
+    zone: int  # index of its zone; -1: unknown
 
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
     """The contents of the gateway file; by default everything is off."""
 
-    front: tuple[str, int] | None = None
+    front: tuple[str, int] | None = None  # host and port of the WebSocket front; None: off
     path: str = "/calls"
-    store: str = "off"
+    store: str = "off"  # kind of the store of call records
     database: str = ""
     destinations: tuple[Destination, ...] = ()
     log_format: str = "logfmt"
@@ -50,20 +50,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of a call router, read at its start."""
+    """The configuration of a call router, read when it starts."""
 
     name: str
-    host: str
+    host: str  # host and port for SIP callers
     port: int
     seed: int
     settings: io.Settings
     classes: dict[str, int]  # index of a class by its name
-    zones: list[str]
-    kinds: list[str]
-    dial_us: int
-    bulletin: str
-    known_last: int
-    known: list[Any]  # events of the bulletin up to the start
+    zones: list[str]  # names; io.Entry.zone is an index into them
+    kinds: list[str]  # names of the kinds of exchanges; io.Entry.kind is an index into them
+    dial_us: int  # timeout of a connection attempt to a peer
+    bulletin: str  # host:port; empty: none
+    known_last: int  # number of the last bulletin event up to the start
+    known: list[Any]  # bulletin events up to the start, decoded
     sockets: int  # limit of file descriptors of the process
     gateway: Gateway = field(default_factory=Gateway)
 
@@ -138,9 +138,9 @@
 
 
 def read_bulletin_address(environ: Mapping[str, str] = os.environ) -> str:
-    """Read the bulletin's address again, the only setting that a running router reloads. Raises ConfigError.
+    """Read the bulletin's address, the only setting outside the parts that a running router reloads.
 
-    Empty if the configuration is a router file (TOML) that names no bulletin.
+    Returns "" if the configuration is a router file (TOML) that names no bulletin. Raises ConfigError.
     """
     if environ.get("RELAY_CONFIG", "").endswith(".toml"):
         from astertrack.routerfile import read_router_file  # noqa: PLC0415  # not used on the platform
--- a/astertrack/parts/__init__.py
+++ b/astertrack/parts/__init__.py
@@ -1,7 +1,7 @@
-"""Optional subsystems of a router, called parts: each connects its decision package to its drivers.
+"""Optional subsystems of a router, called parts: each connects a package that does no I/O to its drivers.
 
 To add a part, write a module with `make(context, path)` and list it in PARTS with its file under deploy/. A part that
-has no file, or whose file leaves it off, is not imported, so that it costs the platform nothing.
+has no file, or whose file leaves it off, is not imported, so that it adds neither time nor memory.
 """
 
 from __future__ import annotations
--- a/astertrack/routerfile.py
+++ b/astertrack/routerfile.py
@@ -1,7 +1,7 @@
 """The router file: a router's configuration as one TOML file, for installations that no platform configures.
 
-It has the settings of the platform's JSON in this project's terms and units, validated by a schema. Only `astertrack
-run` and the other commands read it; a start by the platform does not import this module.
+It has the settings of the platform's JSON, with other names and in milliseconds, and is validated against a schema.
+Only `astertrack run` and the other commands read it; a start by the platform does not import this module.
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 
 
 class ClassTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of calls: its times, worth, duration and width."""
+    """A class of call: its times, relative worth, mean duration and circuits."""
 
     name: Name
     aim_ms: Milliseconds  # a call that is answered within this time earns its full worth
     deadline_ms: Milliseconds  # after this time the caller has cancelled the call
-    worth: Annotated[float, msgspec.Meta(ge=0)] = 1.0
-    late_worth: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.0
-    hold_ms: Annotated[float, msgspec.Meta(ge=0)] = 10_000.0  # average duration of these calls
+    worth: Annotated[float, msgspec.Meta(ge=0)] = 1.0  # relative to the other classes
+    late_worth: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.0  # fraction of `worth` for a later answer
+    hold_ms: Annotated[float, msgspec.Meta(ge=0)] = 10_000.0  # mean duration of these calls
     width: Annotated[float, msgspec.Meta(gt=0, le=64)] = 1.0  # circuits that a call takes
 
 
@@ -54,19 +54,19 @@
     address: str
     exchange: Annotated[int, msgspec.Meta(ge=0, lt=2**31)]
     zone: str = ""
-    state: str = "in_service"
+    state: str = "in_service"  # or "draining"; see BULLETIN_STATUS
 
 
 class RulesTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Rules for attempts, waits and slow start; the defaults are the operators' values."""
+    """Rules for attempts, waits and slow start; the defaults are the platform's values."""
 
     max_attempts: Annotated[int, msgspec.Meta(ge=1, le=6)] = 6
     release_ms: Annotated[float, msgspec.Meta(ge=300)] = 300.0  # before a new attempt, after a timeout, reset or cancel
     caller_wait_ms: Annotated[float, msgspec.Meta(ge=0)] = 2_000.0  # maximum wait given to refused callers
-    cold_from: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.3
-    cold_ms: Annotated[float, msgspec.Meta(ge=0)] = 15_000.0
-    fall_multiple: Annotated[float, msgspec.Meta(gt=0)] = 2.0
-    fall_ms: Annotated[float, msgspec.Meta(ge=0)] = 3_000.0
+    cold_from: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.3  # fraction of its capacity that a started peer has
+    cold_ms: Annotated[float, msgspec.Meta(ge=0)] = 15_000.0  # warm-up time of a peer after its start
+    fall_multiple: Annotated[float, msgspec.Meta(gt=0)] = 2.0  # multiple of its capacity that overloads a cold peer
+    fall_ms: Annotated[float, msgspec.Meta(ge=0)] = 3_000.0  # time over which that load is measured
 
 
 class RouterFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -102,7 +102,7 @@
     host, port = split_address(router.listen, f"{path}: router.listen")
     if router.bulletin:
         split_address(router.bulletin, f"{path}: router.bulletin")
-    if len({service.name for service in file.classes}) != len(file.classes):
+    if len({call_class.name for call_class in file.classes}) != len(file.classes):
         raise ConfigError(f"{path}: class: names must be unique")
     names = [peer.name for peer in file.peers]
     for position, peer in enumerate(file.peers):
@@ -114,8 +114,8 @@
         if names.index(peer.name) != position:
             raise ConfigError(f"{path}: peer[{position}].name: duplicate name {peer.name!r}")
     zones = sorted({zone for zone in (router.zone, *(peer.zone for peer in file.peers)) if zone})
-    for position, service in enumerate(file.classes):
-        if service.deadline_ms < service.aim_ms:
+    for position, call_class in enumerate(file.classes):
+        if call_class.deadline_ms < call_class.aim_ms:
             raise ConfigError(f"{path}: class[{position}].deadline_ms: must not be less than aim_ms")
     settings = io.Settings(
         controllers=len(file.peers) + 1, number=0, home=router.exchange, topology=io.Topology.MESH,
@@ -131,7 +131,8 @@
     system_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return Config(
         name=router.name, host=host, port=port, seed=router.seed, settings=settings,
-        classes={service.name: position for position, service in enumerate(file.classes)}, zones=zones, kinds=[""],
+        classes={call_class.name: position for position, call_class in enumerate(file.classes)}, zones=zones,
+        kinds=[""],
         dial_us=to_us(router.dial_ms), bulletin=router.bulletin, known_last=0,
         known=[{"no": 0, "roster": {"index": 0, "snapshot": True, "endpoints": endpoints}}],
         sockets=min(router.sockets or system_limit, system_limit), gateway=read_gateway(gateway, zones))
