--- a/benchmarks/config_versions.py
+++ b/benchmarks/config_versions.py
@@ -26,7 +26,7 @@
 from astertrack.wire import sse
 from laboratory.control_service import ControlService, events, wrong
 from laboratory.load import Load
-from laboratory.stand_ins import program
+from laboratory.stand_ins import running_router
 
 EXCHANGES = [Exchange(n, "casablanca" if n % 2 else "fes") for n in range(1, 5)]
 LARGE = 100_000  # prefixes of the one large version
@@ -306,7 +306,7 @@
         text = (f'[service]\naddress = "{service.address}"\n[store]\nfolder = "{folder}/versions"\n'
                 "[probation]\nseconds = 2.0\n")
         store = f'[store]\nkind = "sqlite"\ndatabase = "{database}"'
-        async with program(load.nodes, gateway=store, versions=text, module="laboratory.watched") as router:
+        async with running_router(load.nodes, gateway=store, versions=text, module="laboratory.watched") as router:
             until = time.monotonic() + seconds
             versions = asyncio.create_task(script.play(until - 2.0))
             offered = await load.play(router.port, router.api_port)
@@ -314,8 +314,8 @@
             end = time.monotonic() + WAIT_S
             while wrong_verdicts(script) and time.monotonic() < end:
                 await asyncio.sleep(0.2)
-            counts = await router.counts()
-            log = router.log.read_text()
+            counts = await router.stop_and_read_counters()
+            log = router.log_path.read_text()
         recorded, bad_versions = wrong_versions(database, service)
     await service.stop()
     verdicts = wrong_verdicts(script)
@@ -339,10 +339,10 @@
 async def without(seed: int, seconds: float, rate: float) -> dict[str, Any]:
     """Play the calls alone, with no plan and no service: the turns that are not the versions'."""
     load = await Load.start(4, seed, rate, seconds)
-    async with program(load.nodes, module="laboratory.watched") as router:
+    async with running_router(load.nodes, module="laboratory.watched") as router:
         offered = await load.play(router.port, router.api_port)
-        await router.counts()
-        turns = dict(word.split("=") for word in router.log.read_text().splitlines()[-1].split()[1:])
+        await router.stop_and_read_counters()
+        turns = dict(word.split("=") for word in router.log_path.read_text().splitlines()[-1].split()[1:])
     return {"seed": seed, **offered, "longest_turn_ms": int(turns["longest_us"]) / 1000,
             "longest_turn_cpu_ms": int(turns["longest_cpu_us"]) / 1000, "turns_over_10_ms": int(turns["over_10_ms"])}
 
--- a/laboratory/demo.py
+++ b/laboratory/demo.py
@@ -16,7 +16,7 @@
 
 import click
 
-from laboratory.stand_ins import ROOT, ApiCaller, BinaryNode, SipCaller, free_port, until
+from laboratory.stand_ins import ROOT, ApiCaller, BinaryNode, SipCaller, free_port, wait_until
 
 EXAMPLES = ("example.toml", "example-plan.toml", "example-gateway.toml", "example-versions.toml")
 
@@ -24,9 +24,9 @@
 class PatientNode(BinaryNode):
     """A node whose calls stand until they are released."""
 
-    async def decide(self, call: str, number: str, description: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond(self, call: str, number: str, description: bytes, writer: asyncio.StreamWriter) -> None:
         """Answer every call, and leave it standing."""
-        await super().decide(call, f"long-{number}", description, writer)
+        await super().respond(call, f"long-{number}", description, writer)
 
 
 def copy_examples(folder: Path, free_ports: bool) -> None:
@@ -61,7 +61,7 @@
     sip_port = address(router_text, "listen")[1]
     api_port = address((folder / "example-gateway.toml").read_text("utf-8"), "listen")[1]
     try:
-        await until(lambda: process.returncode is not None or listens(api_port))
+        await wait_until(lambda: process.returncode is not None or listens(api_port))
         if process.returncode is not None:
             return process.returncode
         await show_calls(sip_port, api_port)
@@ -90,16 +90,16 @@
     sip, api = await SipCaller.connect(sip_port), await ApiCaller.connect(api_port)
     first, second = f"{time.time_ns():016x}"[-16:], f"{time.time_ns() + 1:016x}"[-16:]
     sip.invite(first, "5221234", -1)
-    await until(lambda: first in sip.finals)
-    answer = sip.finals[first][0]
+    await wait_until(lambda: first in sip.final_responses)
+    answer = sip.final_responses[first][0]
     print(f"\nSIP: INVITE to 5221234 -> {answer.status} {answer.body.decode()!r}")
     api.send(type="setup", id=second, number="5350012", deadline=int(time.time() * 1000) + 3000,
              **{"class": "declaration-save"})
-    await until(lambda: api.finals(second))
-    print(f"WebSocket: setup to 5350012 -> {api.finals(second)[0]}")
-    sip.ask("BYE", first)
+    await wait_until(lambda: api.final_answers(second))
+    print(f"WebSocket: setup to 5350012 -> {api.final_answers(second)[0]}")
+    sip.send_request("BYE", first)
     api.send(type="release", id=second)
-    await until(lambda: api.told(second, "released"))
+    await wait_until(lambda: api.messages_about(second, "released"))
     sip.close()
     api.close()
 
--- a/laboratory/load.py
+++ b/laboratory/load.py
@@ -72,9 +72,9 @@
         """Return how many calls got no final answer, one, and several."""
         told: Counter[str] = Counter()
         for api in self.apis:
-            told.update(m["id"] for m in api.heard if m["type"] in ("answer", "refused", "failed"))
+            told.update(m["id"] for m in api.received_messages if m["type"] in ("answer", "refused", "failed"))
         for sip in self.sips:
-            told.update({call: len(answers) for call, answers in sip.finals.items()})
+            told.update({call: len(answers) for call, answers in sip.final_responses.items()})
         return Counter(min(2, told[call]) for call in self.by)
 
     def closed(self) -> int:
--- a/laboratory/stand_ins.py
+++ b/laboratory/stand_ins.py
@@ -35,28 +35,28 @@
         {"name": "declaration-save", "onTimeUs": 1000000, "deadlineUs": 6000000, "gain": 8.0}]}
 
 
-async def within(wait: Any) -> Any:
+async def with_timeout(wait: Any) -> Any:
     """Wait for something, but not for ever."""
     return await asyncio.wait_for(wait, BOUND_S)
 
 
-async def until(holds: Any) -> None:
+async def wait_until(holds: Any) -> None:
     """Wait until a condition holds, but not for ever."""
     async def look() -> None:
         while not holds():
             await asyncio.sleep(0.005)
-    await within(look())
+    await with_timeout(look())
 
 
 class Node:
     """A stand-in exchange: it answers by the number called, and counts what it is sent."""
 
     def __init__(self) -> None:
-        self.out: Counter[str] = Counter()  # set-ups of a call that are out here
-        self.seen: Counter[str] = Counter()
+        self.active_set_ups: Counter[str] = Counter()  # set-ups of a call that are out here
+        self.request_counts: Counter[str] = Counter()
         self.overlaps = 0
-        self.released: list[tuple[str, int]] = []
-        self.standing: set[str] = set()
+        self.received_releases: list[tuple[str, int]] = []
+        self.established_calls: set[str] = set()
         self.server: asyncio.Server | None = None
         self.writers: list[asyncio.StreamWriter] = []
         self.tasks: set[asyncio.Task[None]] = set()
@@ -76,13 +76,13 @@
         """Serve one connection."""
         raise NotImplementedError
 
-    def taken(self, call: str) -> None:
+    def count_set_up(self, call: str) -> None:
         """A set-up has arrived."""
-        self.seen[call] += 1
-        self.out[call] += 1
-        self.overlaps += self.out[call] > 1
+        self.request_counts[call] += 1
+        self.active_set_ups[call] += 1
+        self.overlaps += self.active_set_ups[call] > 1
 
-    def later(self, work: Any) -> None:
+    def start_task(self, work: Any) -> None:
         """Do something beside reading on."""
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
@@ -104,93 +104,94 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Tell the group's state, then answer set-ups."""
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):  # cancelled: the loop ends
-            await self.converse(reader, writer)
+            await self.serve_messages(reader, writer)
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_messages(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Speak on one connection until it ends."""
         self.writers.append(writer)
         stream = peer.MessageDecoder()
-        self.state(writer)
+        self.send_group_state(writer)
         while data := await reader.read(4096):
             for message in stream.receive(data):
                 assert isinstance(message, peer.Message)
-                self.heard(message, writer)
+                self.handle_message(message, writer)
 
-    def state(self, writer: asyncio.StreamWriter) -> None:
+    def send_group_state(self, writer: asyncio.StreamWriter) -> None:
         """Tell how many circuits of the group are free: at the start, and whenever one has become so."""
-        taken = sum(count > 0 for count in self.out.values())
-        self.say(writer, peer.MessageType.GROUP_STATE, "0" * 16, {
+        taken = sum(count > 0 for count in self.active_set_ups.values())
+        self.send_message(writer, peer.MessageType.GROUP_STATE, "0" * 16, {
             peer.Parameter.REPORT: f"x0:{max(0, CIRCUITS - taken)};x1:{CIRCUITS};eps:0".encode()})
 
-    def free(self, call: str, writer: asyncio.StreamWriter) -> None:
+    def free_circuit(self, call: str, writer: asyncio.StreamWriter) -> None:
         """A call holds its circuit no longer."""
-        if self.out.pop(call, 0):
-            self.state(writer)
+        if self.active_set_ups.pop(call, 0):
+            self.send_group_state(writer)
 
-    def heard(self, message: peer.Message, writer: asyncio.StreamWriter) -> None:
+    def handle_message(self, message: peer.Message, writer: asyncio.StreamWriter) -> None:
         """Act on one message."""
         call = message.call
         if message.type == peer.MessageType.TEST:
-            self.say(writer, peer.MessageType.TEST_RESULT, call, {peer.Parameter.CAUSE: b"\1"})
+            self.send_message(writer, peer.MessageType.TEST_RESULT, call, {peer.Parameter.CAUSE: b"\1"})
         elif message.type == peer.MessageType.SET_UP:
-            self.taken(call)
-            self.later(self.decide(call, message.parameters[peer.Parameter.NUMBER].decode(),
+            self.count_set_up(call)
+            self.start_task(self.respond(call, message.parameters[peer.Parameter.NUMBER].decode(),
                                    message.parameters[peer.Parameter.DESCRIPTION], writer))
         elif message.type == peer.MessageType.RELEASE:
-            self.released.append((call, message.parameters[peer.Parameter.CAUSE][0]))
-            self.free(call, writer)
-            self.standing.discard(call)
+            self.received_releases.append((call, message.parameters[peer.Parameter.CAUSE][0]))
+            self.free_circuit(call, writer)
+            self.established_calls.discard(call)
 
-    def say(self, writer: asyncio.StreamWriter, kind: peer.MessageType, call: str,
+    def send_message(self, writer: asyncio.StreamWriter, kind: peer.MessageType, call: str,
             parameters: dict[int, bytes]) -> None:
         """Write one message."""
         writer.write(peer.encode_message(peer.Message(kind, call, parameters)))
 
-    def end(self, writer: asyncio.StreamWriter, call: str, cause: int, note: bytes = b"") -> None:
+    def send_release(self, writer: asyncio.StreamWriter, call: str, cause: int, note: bytes = b"") -> None:
         """Release a call or a set-up."""
-        self.free(call, writer)
-        self.standing.discard(call)
-        self.say(writer, peer.MessageType.RELEASE, call,
+        self.free_circuit(call, writer)
+        self.established_calls.discard(call)
+        self.send_message(writer, peer.MessageType.RELEASE, call,
                  {peer.Parameter.CAUSE: bytes((cause,)), **({peer.Parameter.NOTE: note} if note else {})})
 
-    async def decide(self, call: str, number: str, description: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond(self, call: str, number: str, description: bytes, writer: asyncio.StreamWriter) -> None:
         """Answer as the number's first word says."""
         await asyncio.sleep(0.01)
         what = number.partition("-")[0]
         if what == "full":
-            self.end(writer, call, 34, b"throttled")
+            self.send_release(writer, call, 34, b"throttled")
         elif what == "fault":
-            self.end(writer, call, 47)
+            self.send_release(writer, call, 47)
         elif what == "busy":
-            self.end(writer, call, 17, b"engaged")
+            self.send_release(writer, call, 17, b"engaged")
         elif what == "reset":
-            self.end(writer, call, 41)
-        elif what != "silent" and self.out[call]:
-            self.standing.add(call)
-            self.say(writer, peer.MessageType.ANSWER, call, {peer.Parameter.DESCRIPTION: b"answer to " + description})
+            self.send_release(writer, call, 41)
+        elif what != "silent" and self.active_set_ups[call]:
+            self.established_calls.add(call)
+            self.send_message(writer, peer.MessageType.ANSWER, call,
+                              {peer.Parameter.DESCRIPTION: b"answer to " + description})
             if what != "long":
                 await asyncio.sleep(0.1)
-                if call in self.standing:
-                    self.end(writer, call, 41 if what == "cut" else 16)
+                if call in self.established_calls:
+                    self.send_release(writer, call, 41 if what == "cut" else 16)
 
 
-class CutNode(BinaryNode):
+class PartitionableNode(BinaryNode):
     """A node that can be cut off: what comes is lost, nothing is said, and connections stay open."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.cut = False
+        self.is_partitioned = False
 
-    def heard(self, message: peer.Message, writer: asyncio.StreamWriter) -> None:
+    def handle_message(self, message: peer.Message, writer: asyncio.StreamWriter) -> None:
         """Hear nothing while cut off."""
-        if not self.cut:
-            super().heard(message, writer)
+        if not self.is_partitioned:
+            super().handle_message(message, writer)
 
-    def say(self, writer: asyncio.StreamWriter, kind: peer.MessageType, call: str,
+    def send_message(self, writer: asyncio.StreamWriter, kind: peer.MessageType, call: str,
             parameters: dict[int, bytes]) -> None:
         """Say nothing while cut off."""
-        if not self.cut:
-            super().say(writer, kind, call, parameters)
+        if not self.is_partitioned:
+            super().send_message(writer, kind, call, parameters)
 
 
 class ApiNode(Node):
@@ -205,48 +206,48 @@
             for event in machine.events():
                 if isinstance(event, Request):
                     writer.write(machine.send(AcceptConnection()))
-                    self.tell(machine, writer, type="state", free=50, size=50, hold_back=0)
+                    self.send_message(machine, writer, type="state", free=50, size=50, hold_back=0)
                 elif isinstance(event, TextMessage):
                     parts += event.data
                     if event.message_finished:
-                        self.later(self.heard(json.loads(parts), machine, writer))
+                        self.start_task(self.handle_message(json.loads(parts), machine, writer))
                         parts = ""
 
-    def tell(self, machine: WSConnection, writer: asyncio.StreamWriter, **message: Any) -> None:
+    def send_message(self, machine: WSConnection, writer: asyncio.StreamWriter, **message: Any) -> None:
         """Send one message."""
         writer.write(machine.send(Message(json.dumps(message))))
 
-    async def heard(self, asked: dict[str, Any], machine: WSConnection, writer: asyncio.StreamWriter) -> None:
+    async def handle_message(self, asked: dict[str, Any], machine: WSConnection, writer: asyncio.StreamWriter) -> None:
         """Act on one message."""
         call = asked["id"]
         if asked["type"] == "setup":
-            self.taken(call)
+            self.count_set_up(call)
             assert asked["deadline"] > time.time() * 1000
             await asyncio.sleep(0.01)
             what = asked["number"].split("-")[0]
             if what in ("full", "fault"):
-                self.out[call] = 0
+                self.active_set_ups[call] = 0
                 kind = "refused" if what == "full" else "failed"
-                self.tell(machine, writer, type=kind, id=call, reason="processor-full")
+                self.send_message(machine, writer, type=kind, id=call, reason="processor-full")
             elif what != "silent":
-                self.standing.add(call)
-                self.tell(machine, writer, type="answer", id=call, description="answer to "
+                self.established_calls.add(call)
+                self.send_message(machine, writer, type="answer", id=call, description="answer to "
                           + asked["description"])
                 if what != "long":
                     await asyncio.sleep(0.1)
-                    self.out[call] = 0
-                    self.standing.discard(call)
-                    self.tell(machine, writer, type="released", id=call, cause=16)
+                    self.active_set_ups[call] = 0
+                    self.established_calls.discard(call)
+                    self.send_message(machine, writer, type="released", id=call, cause=16)
         elif asked["type"] == "resume":
-            self.seen["resume"] += 1
-            if call in self.standing:
-                self.tell(machine, writer, type="answer", id=call, description="still")
+            self.request_counts["resume"] += 1
+            if call in self.established_calls:
+                self.send_message(machine, writer, type="answer", id=call, description="still")
             else:
-                self.tell(machine, writer, type="error", id=call, code="unknown-call", reason="no such call")
+                self.send_message(machine, writer, type="error", id=call, code="unknown-call", reason="no such call")
         elif asked["type"] in ("cancel", "release"):
-            self.released.append((call, asked.get("cause", 0)))
-            self.out[call] = 0
-            self.standing.discard(call)
+            self.received_releases.append((call, asked.get("cause", 0)))
+            self.active_set_ups[call] = 0
+            self.established_calls.discard(call)
 
 
 class SipCaller:
@@ -254,9 +255,9 @@
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.stream = reader, writer, sip.MessageDecoder()
-        self.finals: dict[str, list[sip.Message]] = {}
-        self.byes: list[str] = []
-        self.tests = 0
+        self.final_responses: dict[str, list[sip.Message]] = {}
+        self.received_byes: list[str] = []
+        self.options_response_count = 0
         self.task = asyncio.get_running_loop().create_task(self.read())
 
     @classmethod
@@ -272,7 +273,7 @@
             ("X-Deadline", str(wait_ms)), ("X-Attrs", f"dest:{dest};width:1;via:-1")],
             b"offer " + call.encode()))
 
-    def ask(self, method: str, call: str) -> None:
+    def send_request(self, method: str, call: str) -> None:
         """Send CANCEL, BYE, ACK or OPTIONS."""
         self.writer.write(sip.encode_message(f"{method} sip:{call}@net SIP/2.0", [
             ("Call-ID", call), ("CSeq", f"1 {method}")]))
@@ -284,12 +285,12 @@
                 assert isinstance(message, sip.Message)
                 call = message.headers.get("call-id", "")
                 if message.method == "BYE":
-                    self.byes.append(call)
+                    self.received_byes.append(call)
                 elif message.headers.get("cseq", "").endswith("OPTIONS"):
-                    self.tests += 1
+                    self.options_response_count += 1
                 elif message.headers.get("cseq", "").endswith("INVITE") and message.status >= 200:
-                    self.finals.setdefault(call, []).append(message)
-                    self.ask("ACK", call)
+                    self.final_responses.setdefault(call, []).append(message)
+                    self.send_request("ACK", call)
 
     def close(self) -> None:
         """Close."""
@@ -302,9 +303,9 @@
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.machine = reader, writer, WSConnection(ConnectionType.CLIENT)
-        self.heard: list[dict[str, Any]] = []
-        self.open = asyncio.Event()
-        self.closed: int | None = None
+        self.received_messages: list[dict[str, Any]] = []
+        self.opened = asyncio.Event()
+        self.close_code: int | None = None
         writer.write(self.machine.send(Request(host="127.0.0.1", target="/calls")))
         self.task = asyncio.get_running_loop().create_task(self.read())
 
@@ -312,7 +313,7 @@
     async def connect(cls, port: int) -> ApiCaller:
         """Connect and shake hands."""
         caller = cls(*await asyncio.open_connection("127.0.0.1", port))
-        await within(caller.open.wait())
+        await with_timeout(caller.opened.wait())
         return caller
 
     def send(self, **message: Any) -> None:
@@ -332,24 +333,24 @@
             self.machine.receive_data(data)
             for event in self.machine.events():
                 if isinstance(event, AcceptConnection):
-                    self.open.set()
+                    self.opened.set()
                 elif isinstance(event, TextMessage):
                     parts += event.data
                     if event.message_finished:
-                        self.heard.append(json.loads(parts))
+                        self.received_messages.append(json.loads(parts))
                         parts = ""
                 elif isinstance(event, Ping):
                     self.writer.write(self.machine.send(event.response()))
                 elif isinstance(event, CloseConnection):
-                    self.closed = event.code
+                    self.close_code = event.code
 
-    def told(self, call: str, *types: str) -> list[dict[str, Any]]:
+    def messages_about(self, call: str, *types: str) -> list[dict[str, Any]]:
         """What was said of a call, of these types."""
-        return [m for m in self.heard if m.get("id") == call and m["type"] in types]
+        return [m for m in self.received_messages if m.get("id") == call and m["type"] in types]
 
-    def finals(self, call: str) -> list[dict[str, Any]]:
+    def final_answers(self, call: str) -> list[dict[str, Any]]:
         """The final answers of a call."""
-        return self.told(call, "answer", "refused", "failed")
+        return self.messages_about(call, "answer", "refused", "failed")
 
     def close(self) -> None:
         """Close without a word."""
@@ -357,29 +358,29 @@
         self.task.cancel()
 
 
-class Program:
+class RouterProcess:
     """The program, started as in service."""
 
-    def __init__(self, process: asyncio.subprocess.Process, port: int, api_port: int, log: Path) -> None:
-        self.process, self.port, self.api_port, self.log = process, port, api_port, log
+    def __init__(self, process: asyncio.subprocess.Process, port: int, api_port: int, log_path: Path) -> None:
+        self.process, self.port, self.api_port, self.log_path = process, port, api_port, log_path
 
-    def reload(self, text: str) -> None:
+    def reload_config(self, text: str) -> None:
         """Replace the configuration file, and tell the program."""
-        new = self.log.with_name("config.new")
+        new = self.log_path.with_name("config.new")
         new.write_text(text)
-        new.replace(self.log.with_name("config.json"))
+        new.replace(self.log_path.with_name("config.json"))
         self.process.send_signal(signal.SIGHUP)
 
-    async def logged(self, text: str, times: int = 1) -> None:
+    async def wait_for_log(self, text: str, times: int = 1) -> None:
         """Wait until the log says so."""
-        await until(lambda: self.log.read_text().count(text) >= times)
+        await wait_until(lambda: self.log_path.read_text().count(text) >= times)
 
-    async def counts(self) -> Counter[str]:
+    async def stop_and_read_counters(self) -> Counter[str]:
         """End it, and return the counters it prints."""
         if self.process.returncode is None:
             self.process.terminate()
-        assert await within(self.process.wait()) == 0
-        line = next(x for x in self.log.read_text().splitlines() if x.startswith("counters "))
+        assert await with_timeout(self.process.wait()) == 0
+        line = next(x for x in self.log_path.read_text().splitlines() if x.startswith("counters "))
         return Counter({name: int(value) for name, _, value in (w.partition("=") for w in line.split()[1:])})
 
 
@@ -393,9 +394,9 @@
 
 
 @contextlib.asynccontextmanager
-async def program(nodes: dict[int, Node], api_nodes: dict[int, Node] | None = None,
+async def running_router(nodes: dict[int, Node], api_nodes: dict[int, Node] | None = None,
                   gateway: str = "", bulletin: str = "", versions: str = "",
-                  module: str = "astertrack") -> AsyncIterator[Program]:
+                  module: str = "astertrack") -> AsyncIterator[RouterProcess]:
     """Start the program between these stand-in exchanges, by number; versions: the text of its versions.toml."""
     port, api_port = free_port(), free_port()
     with tempfile.TemporaryDirectory() as folder:
@@ -421,9 +422,9 @@
                      "ASTERTRACK_GATEWAY": str(here / "gateway.toml"),
                      "ASTERTRACK_VERSIONS": str(here / "versions.toml")})
         try:
-            await until(lambda: process.returncode is not None or "event=serving" in log.read_text())
+            await wait_until(lambda: process.returncode is not None or "event=serving" in log.read_text())
             assert process.returncode is None, log.read_text()
-            yield Program(process, port, api_port, log)
+            yield RouterProcess(process, port, api_port, log)
         finally:
             if process.returncode is None:
                 process.kill()
--- a/tests/test_bulletin.py
+++ b/tests/test_bulletin.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from astertrack.net.bulletin import REDIAL_INTERVAL_US, UNRESPONSIVE_TIMEOUT_US, read_event
-from laboratory.stand_ins import BinaryNode, Node, SipCaller, program, until
+from laboratory.stand_ins import BinaryNode, Node, SipCaller, running_router, wait_until
 
 
 class BulletinServer:
@@ -65,8 +65,8 @@
 async def place_call(caller: SipCaller, call: str, number: str, dest: int) -> int:
     """Place a call and return its final status."""
     caller.invite(call, number, dest, 1500)
-    await until(lambda: call in caller.finals)
-    return caller.finals[call][0].status
+    await wait_until(lambda: call in caller.final_responses)
+    return caller.final_responses[call][0].status
 
 
 def test_peers_are_added_drained_and_removed_by_bulletin_events_and_an_address_is_reused() -> None:
@@ -74,29 +74,29 @@
         bulletin = await BulletinServer().start()
         nodes: dict[int, Node] = {1: await BinaryNode().start()}
         other = await BinaryNode().start()
-        async with program(nodes, bulletin=bulletin.address) as router:
+        async with running_router(nodes, bulletin=bulletin.address) as router:
             caller = await SipCaller.connect(router.port)
-            await until(lambda: bulletin.writers)
+            await wait_until(lambda: bulletin.writers)
             assert bulletin.last_event_ids == ["1"]
             assert await place_call(caller, "a" * 16, "good", 2) == 503  # no peer has number 2 yet
             bulletin.publish(make_endpoint("s-2", 2, other.address))
-            await until(lambda: other.writers)  # the router connects, to receive the state of the group
+            await wait_until(lambda: other.writers)  # the router connects, to receive the state of the group
             assert await place_call(caller, "b" * 16, "long", 2) == 200
             bulletin.close_connections()
             # Published while the router is not connected.
             bulletin.publish(make_endpoint("s-2", 2, other.address, "terminating"))
-            await until(lambda: bulletin.writers)
+            await wait_until(lambda: bulletin.writers)
             assert bulletin.last_event_ids == ["1", "2"]
-            await until(lambda: "state=draining" in router.log.read_text())
+            await wait_until(lambda: "state=draining" in router.log_path.read_text())
             assert await place_call(caller, "c" * 16, "good", 2) == 503
-            assert other.seen["c" * 16] == 0
-            assert "b" * 16 not in caller.byes  # an established call through a draining peer goes on
+            assert other.request_counts["c" * 16] == 0
+            assert "b" * 16 not in caller.received_byes  # an established call through a draining peer goes on
             bulletin.publish(make_endpoint("s-2", 2, other.address, "terminated"))
-            await until(lambda: "b" * 16 in caller.byes)
+            await wait_until(lambda: "b" * 16 in caller.received_byes)
             bulletin.publish(make_endpoint("s-9", 3, other.address))  # a new machine at the same address
-            await until(lambda: "name=s-9" in router.log.read_text())
+            await wait_until(lambda: "name=s-9" in router.log_path.read_text())
             assert await place_call(caller, "d" * 16, "good", 3) == 200
-            assert other.seen["d" * 16] == 1
+            assert other.request_counts["d" * 16] == 1
         other.stop()
     asyncio.run(work())
 
@@ -105,18 +105,18 @@
     async def work() -> None:
         bulletin = await BulletinServer().start()
         other = await BinaryNode().start()
-        async with program({1: await BinaryNode().start()}, bulletin=bulletin.address) as router:
-            await until(lambda: bulletin.writers)
+        async with running_router({1: await BinaryNode().start()}, bulletin=bulletin.address) as router:
+            await wait_until(lambda: bulletin.writers)
             for writer in bulletin.writers:
                 writer.write(b"id: 2\ndata: [\n\nid: 3\ndata: {\"no\":3,\"roster\":{\"endpoints\":[5]}}\n\n")
             bulletin.publish(make_endpoint("s-2", 2, other.address))
-            await until(lambda: other.writers)
+            await wait_until(lambda: other.writers)
             caller = await SipCaller.connect(router.port)
             assert await place_call(caller, "e" * 16, "good", 2) == 200
             # The first malformed event drops the connection, and what follows event 1 is requested again. The second
             # one arrived on the dropped connection and is ignored.
             assert bulletin.last_event_ids[:2] == ["1", "1"]
-            assert (await router.counts())["bulletin_malformed"] == 1
+            assert (await router.stop_and_read_counters())["bulletin_malformed"] == 1
         other.stop()
     asyncio.run(work())
 
@@ -124,25 +124,25 @@
 def test_a_new_configuration_changes_the_bulletin_address_and_an_invalid_one_changes_nothing() -> None:
     async def work() -> None:
         old, new, other = await BulletinServer().start(), await BulletinServer().start(), await BinaryNode().start()
-        async with program({1: await BinaryNode().start()}, bulletin=old.address) as router:
+        async with running_router({1: await BinaryNode().start()}, bulletin=old.address) as router:
             caller = await SipCaller.connect(router.port)
-            await until(lambda: old.writers)
+            await wait_until(lambda: old.writers)
             old.publish(make_endpoint("s-2", 2, other.address))
-            await router.logged("name=s-2")
+            await router.wait_for_log("name=s-2")
             assert await place_call(caller, "a" * 16, "long", 1) == 200
             invalid = ("{", '{"bulletin": 5}', "[]", '{"bulletin": "127.0.0.1:x"}', '{"settings": {}}')
             for index, text in enumerate(invalid):
-                router.reload(text)
-                await router.logged("configuration not taken over", index + 1)
+                router.reload_config(text)
+                await router.wait_for_log("configuration not taken over", index + 1)
             new.events = [*old.events]  # the numbers continue
             new.publish(make_endpoint("s-2", 2, other.address, "terminating"))
-            router.reload(json.dumps({"bulletin": new.address}))
-            await until(lambda: new.last_event_ids == ["2"])
-            await router.logged("state=draining")
+            router.reload_config(json.dumps({"bulletin": new.address}))
+            await wait_until(lambda: new.last_event_ids == ["2"])
+            await router.wait_for_log("state=draining")
             assert await place_call(caller, "b" * 16, "good", 1) == 200  # known peers are kept
-            assert "a" * 16 not in caller.byes  # and so are established calls
-            caller.ask("BYE", "a" * 16)
-            counts = await router.counts()
+            assert "a" * 16 not in caller.received_byes  # and so are established calls
+            caller.send_request("BYE", "a" * 16)
+            counts = await router.stop_and_read_counters()
             assert (counts["reloads"], counts["reloads_failed"], counts["calls_cut"]) == (1, len(invalid), 0)
         other.stop()
     asyncio.run(work())
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -15,7 +15,7 @@
 
 from astertrack.cli import main
 from astertrack.config import ConfigError
-from laboratory.stand_ins import ROOT, BinaryNode, free_port, program, until
+from laboratory.stand_ins import ROOT, BinaryNode, free_port, running_router, wait_until
 
 DEPLOY = ROOT / "deploy"
 PLAN = str(DEPLOY / "example-plan.toml")
@@ -144,14 +144,14 @@
         node = await BinaryNode().start()
         try:
             settings = f'[service]\naddress = "127.0.0.1:{port}"\n[probation]\nseconds = 0\n'
-            async with program({1: node}, versions=settings) as router:
-                await router.logged("version=1.1")
+            async with running_router({1: node}, versions=settings) as router:
+                await router.wait_for_log("version=1.1")
                 (folder / "2.new").write_text(text.format(2, 6, 1))
                 (folder / "2.new").replace(folder / "2.toml")
-                await router.logged("version=1.2")
+                await router.wait_for_log("version=1.2")
                 (folder / "3.toml").write_text(text.format(3, 6, 9))
-                await until(lambda: "unknown-exchange" in (tmp_path / "log").read_text())
-                await until(lambda: '"stand": "settled"' in (tmp_path / "log").read_text())
+                await wait_until(lambda: "unknown-exchange" in (tmp_path / "log").read_text())
+                await wait_until(lambda: '"stand": "settled"' in (tmp_path / "log").read_text())
                 result = await asyncio.to_thread(subprocess.run, command_line(
                     "versions", "status", "--service", f"127.0.0.1:{port}", "--json"), cwd=ROOT, capture_output=True,
                     text=True, check=False, timeout=20)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from laboratory.stand_ins import BinaryNode, SipCaller, program, until
+from laboratory.stand_ins import BinaryNode, SipCaller, running_router, wait_until
 
 CALLS = [f"{n:016x}" for n in range(0x500, 0x508)]
 
@@ -69,8 +69,8 @@
     caller = await SipCaller.connect(port)
     for call in CALLS:
         caller.invite(call, "good-1", 1)
-    await until(lambda: set(caller.byes) == set(CALLS))
-    assert all(len(caller.finals[call]) == 1 for call in CALLS)
+    await wait_until(lambda: set(caller.received_byes) == set(CALLS))
+    assert all(len(caller.final_responses[call]) == 1 for call in CALLS)
 
 
 def run(body: Callable[[], Coroutine[Any, Any, None]]) -> None:
@@ -82,9 +82,9 @@
     async def body() -> None:
         node = await BinaryNode().start()
         store = f'[store]\nkind = "sqlite"\ndatabase = "{tmp_path / "calls.db"}"'
-        async with program({1: node}, gateway=store) as router:
+        async with running_router({1: node}, gateway=store) as router:
             await place_calls(router.port)
-            counts = await router.counts()
+            counts = await router.stop_and_read_counters()
             assert counts["store_written"] == 2 * len(CALLS)
         rows = sqlite3.connect(tmp_path / "calls.db").execute(
             "SELECT call, event, service, number, dest, attempts, peer FROM call_records"
@@ -97,9 +97,9 @@
 def test_postgresql_is_written_in_transactions() -> None:
     async def body() -> None:
         node, server = await BinaryNode().start(), await PostgresStandIn().start()
-        async with program({1: node}, gateway=gateway_settings(server.port)) as router:
+        async with running_router({1: node}, gateway=gateway_settings(server.port)) as router:
             await place_calls(router.port)
-            counts = await router.counts()
+            counts = await router.stop_and_read_counters()
             assert counts["store_written"] == 2 * len(CALLS)
         inserts = [query for query in server.queries if query.startswith("INSERT INTO call_records")]
         assert len(inserts) == 2 * len(CALLS)
@@ -115,9 +115,9 @@
     async def body() -> None:
         node, server = await BinaryNode().start(), await PostgresStandIn(unresponsive=True).start()
         port = server.port if unresponsive else 1
-        async with program({1: node}, gateway=gateway_settings(port)) as router:
+        async with running_router({1: node}, gateway=gateway_settings(port)) as router:
             await place_calls(router.port)
-            counts = await router.counts()
+            counts = await router.stop_and_read_counters()
             assert counts["final_answered"] == len(CALLS)
             assert counts["store_written"] == 0
             assert counts["store_lost"] + counts["store_waiting"] == 2 * len(CALLS)
