--- a/benchmarks/config_versions.py
+++ b/benchmarks/config_versions.py
@@ -24,7 +24,7 @@
 from astertrack.plan.model import Barred, Choice, Exchange, Limit, Prefix
 from astertrack.versions import Document, VersionId, make_document, write_header
 from astertrack.wire import sse
-from laboratory.control_service import ControlService, events, wrong
+from laboratory.control_service import ControlService, encode_document, make_unchecked_document
 from laboratory.load import Load
 from laboratory.stand_ins import running_router
 
@@ -72,9 +72,9 @@
 
     def expect(self, id: VersionId, expected: Expected) -> None:
         """Note what may be told of a version. One that others wait before may be passed over for a later one."""
-        for heard in self.service.heard[self.read:]:
+        for heard in self.service.received_reports[self.read:]:
             self.waiting.discard(VersionId(heard.report.epoch, heard.report.number))
-        self.read = len(self.service.heard)
+        self.read = len(self.service.received_reports)
         crowded = {"superseded"} if self.waiting else set()
         self.expected.setdefault(id, set()).update(expected | crowded)
         self.waiting.add(id)
@@ -96,14 +96,14 @@
     async def listening(self) -> None:
         """Wait until the router listens: it may be backing off."""
         until = time.monotonic() + AWAY_S
-        while not self.service.open and time.monotonic() < until:
+        while not self.service.open_streams and time.monotonic() < until:
             await asyncio.sleep(0.01)
 
     # ---- steps
 
     async def good(self) -> None:
         """A version as most are: a delta where that is less."""
-        self.service.deltas = self.source.random() < 0.7
+        self.service.sends_deltas = self.source.random() < 0.7
         changed = [Prefix(f"{self.source.randrange(100):02}", self.source.randint(1, 4))]
         base = self.plan if self.plan.size else self.draw()
         self.publish(build(iter(changed), base) if self.source.random() < 0.7 else self.draw(), {""})
@@ -116,7 +116,8 @@
         """A line that is no record."""
         line = self.source.choice([b"{", b'{"kind":"prefix","digits":"5x","exchange":1}', b"[]",
                                    b'{"kind":"whim"}', b'{"kind":"prefix","digits":"5","exchange":1,"more":0}'])
-        self.send(wrong(self.next_id().number, [b'{"kind":"exchange","number":1}', line], self.epoch), {"schema"})
+        self.send(make_unchecked_document(self.next_id().number, [b'{"kind":"exchange","number":1}', line], self.epoch),
+                  {"schema"})
 
     async def wrong_by_meaning(self) -> None:
         """Records that are sound one by one."""
@@ -126,12 +127,12 @@
             ("alias-loop", [b'{"kind":"alias","digits":"12","to":"13"}', b'{"kind":"alias","digits":"13","to":"12"}']),
             ("doubled", [b'{"kind":"prefix","digits":"5","exchange":1}', b'{"kind":"barred","digits":"5"}'])])
         lines = [b'{"kind":"exchange","number":1}', *lines]
-        self.send(wrong(self.next_id().number, lines, self.epoch), {reason})
+        self.send(make_unchecked_document(self.next_id().number, lines, self.epoch), {reason})
 
     async def not_text(self) -> None:
         """A version with a line that is not UTF-8: the stream cannot be read on, and the version has not come."""
-        self.service.send_raw(events(wrong(self.next_id().number, [b'{"kind":"exchange","number":1}', b"\xff\xfe"],
-                                           self.epoch)))
+        self.service.send_raw(encode_document(make_unchecked_document(
+            self.next_id().number, [b'{"kind":"exchange","number":1}', b"\xff\xfe"], self.epoch)))
         await asyncio.sleep(SETTLE_S)
 
     async def spoilt(self) -> None:
@@ -182,10 +183,10 @@
     async def cut(self) -> None:
         """The stream ends within a version; who dials again is sent the latest."""
         plan = self.draw()
-        data = events(make_document(self.next_id(), plan.records(), plan.state))
+        data = encode_document(make_document(self.next_id(), plan.records(), plan.state))
         self.service.send_raw(data[:self.source.randrange(len(data) - 20)])
         await asyncio.sleep(0.02)
-        self.service.cut()
+        self.service.close_streams()
         await asyncio.sleep(SETTLE_S)
 
     async def too_large(self) -> None:
@@ -199,7 +200,7 @@
     async def flood(self) -> None:
         """Two hundred versions in a second."""
         began = time.monotonic()
-        self.service.deltas = False
+        self.service.sends_deltas = False
         for at in range(200):
             self.publish(self.draw(5), {""})
             await asyncio.sleep(max(0.0, began + at * 0.005 - time.monotonic()))
@@ -207,15 +208,15 @@
     async def silence(self) -> None:
         """The stream stays open and says nothing, until the router dials again."""
         before = len(self.service.streams)
-        self.service.comments = False
+        self.service.sends_keep_alives = False
         until = time.monotonic() + WAIT_S
         while len(self.service.streams) == before and time.monotonic() < until:
             await asyncio.sleep(0.02)
-        self.service.comments = True
+        self.service.sends_keep_alives = True
 
     async def huge(self) -> None:
         """A plan of 100,000 prefixes, made before so that the calls of this process wait for nothing."""
-        self.service.deltas = False
+        self.service.sends_deltas = False
         self.publish(self.prepared, {""})
         await asyncio.sleep(0.5)
 
@@ -224,7 +225,7 @@
         self.service.send_raw(self.source.choice([
             sse.encode_event("version", (b"{",)), sse.encode_event("records", (b"x",)), sse.encode_event("end", (b"",)),
             sse.encode_event("whim", (b"x",)),
-            sse.encode_event("version", (write_header(wrong(1, [], 1).header)[:-9],))]))
+            sse.encode_event("version", (write_header(make_unchecked_document(1, [], 1).header)[:-9],))]))
 
     async def play(self, until: float) -> None:
         """Play steps until an instant; the rare ones each once, in a drawn order among the others."""
@@ -243,7 +244,7 @@
             await step()
             await asyncio.sleep(self.source.uniform(*STEP_S))
         await self.listening()
-        self.service.deltas = False
+        self.service.sends_deltas = False
         self.publish(self.draw(), {""})
         last = VersionId(self.epoch, self.number)
         self.expected[last] = {""}  # nothing comes after it
@@ -252,7 +253,7 @@
 def wrong_versions(database: Path, service: ControlService) -> tuple[int, int]:
     """Return how many calls were recorded, and how many under another version than was in force for them."""
     changes = []
-    for heard in service.heard:
+    for heard in service.received_reports:
         report = heard.report
         if report.stand == "in-force":
             changes.append((report.at_us, report.seq, f"{report.epoch}.{report.number}"))
@@ -272,7 +273,7 @@
 def wrong_verdicts(script: Script) -> list[str]:
     """Return the versions whose verdict is not the one that the script expects."""
     told: dict[VersionId, tuple[set[str], set[str]]] = {}
-    for heard in script.service.heard:
+    for heard in script.service.received_reports:
         report = heard.report
         stands, reasons = told.setdefault(VersionId(report.epoch, report.number), (set(), set()))
         stands.add(report.stand)
--- a/laboratory/control_service.py
+++ b/laboratory/control_service.py
@@ -20,14 +20,14 @@
 from astertrack.wire import control, http, sse
 
 
-def events(document: Document, records: int | None = None, end: bool = True) -> bytes:
+def encode_document(document: Document, record_count: int | None = None, with_end: bool = True) -> bytes:
     """The bytes of a version: all of them, or those of its first records, or all but its end."""
-    lines = document.lines if records is None else document.lines[:records]
+    lines = document.lines if record_count is None else document.lines[:record_count]
     parts = list(control.encode_version(write_header(document.header), lines, str(document.header.id)))
-    return b"".join(parts if end and records is None else parts[:-1])
+    return b"".join(parts if with_end and record_count is None else parts[:-1])
 
 
-def wrong(number: int, lines: Iterable[bytes], epoch: int = 1, state: int = 0) -> Document:
+def make_unchecked_document(number: int, lines: Iterable[bytes], epoch: int = 1, state: int = 0) -> Document:
     """A document whose lines need not be sound, under a head that fits them."""
     sound = make_document(VersionId(epoch, number), (), state)
     given = tuple(lines)
@@ -37,20 +37,20 @@
 
 
 @dataclass(eq=False)
-class Stream:
+class RouterStream:
     """One router that listens."""
 
-    asked: control.StreamRequest
+    request: control.StreamRequest
     writer: asyncio.StreamWriter
-    at_us: int
-    closed: bool = False
+    opened_at_us: int
+    is_closed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReceivedReport:
     """A report, and when it was heard here."""
 
-    at_us: int
+    received_at_us: int
     report: Report
 
 
@@ -60,13 +60,15 @@
 
     catalogue: Catalogue = field(default_factory=Catalogue)
     report_log: ReportLog = field(default_factory=ReportLog)
-    heard: list[Heard] = field(default_factory=list)  # each report once, in the order heard
-    streams: list[Stream] = field(default_factory=list)  # all there have been
-    answers: str = "hear"  # to status: "hear", "deaf" (503), "mute" (heard, and the connection dies), "hang"
-    offers: bool = True  # whether who connects is sent the latest version
-    comments: bool = True
-    messages: int = 0
-    deltas: bool = True  # whether what is published goes out as a delta where it can
+    received_reports: list[ReceivedReport] = field(default_factory=list)  # each report once, in the order heard
+    streams: list[RouterStream] = field(default_factory=list)  # all there have been
+    # How status requests are answered: "accept" (204), "unavailable" (503, the reports are discarded), "close" (the
+    # reports are recorded and the connection is closed without a response), "hang" (as "close", but it stays open).
+    status_mode: str = "accept"
+    sends_latest_on_connect: bool = True  # whether who connects is sent the latest version
+    sends_keep_alives: bool = True
+    status_request_count: int = 0
+    sends_deltas: bool = True  # whether what is published goes out as a delta where it can
 
     def __post_init__(self) -> None:
         self._server: asyncio.Server | None = None
@@ -78,7 +80,7 @@
         """Listen on loopback."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port, limit=1 << 22)
         self.port = self._server.sockets[0].getsockname()[1]
-        self._task = asyncio.get_running_loop().create_task(self._comment())
+        self._task = asyncio.get_running_loop().create_task(self._send_keep_alives())
         return self
 
     @property
@@ -87,9 +89,9 @@
         return f"127.0.0.1:{self.port}"
 
     @property
-    def open(self) -> list[Stream]:
+    def open_streams(self) -> list[RouterStream]:
         """The routers that listen now."""
-        return [stream for stream in self.streams if not stream.closed]
+        return [stream for stream in self.streams if not stream.is_closed]
 
     async def stop(self) -> None:
         """Refuse new connections and close the open ones."""
@@ -100,10 +102,10 @@
         for writer in list(self._writers):
             writer.close()
 
-    async def _comment(self) -> None:
+    async def _send_keep_alives(self) -> None:
         while True:
             await asyncio.sleep(0.5)
-            if self.comments:
+            if self.sends_keep_alives:
                 self.send_raw(control.encode_keep_alive())
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -117,32 +119,34 @@
                     continue
                 asked = control.parse_stream_request(message)
                 if asked is not None:
-                    stream = Stream(asked, writer, time.time_ns() // 1000)
+                    stream = RouterStream(asked, writer, time.time_ns() // 1000)
                     self.streams.append(stream)
                     writer.write(http.encode_stream_head())
-                    offered = self.catalogue.document_for(asked.after, asked.full) if self.offers else None
+                    offered = (self.catalogue.document_for(asked.after, asked.full)
+                               if self.sends_latest_on_connect else None)
                     if offered is not None:
-                        writer.write(events(offered))
+                        writer.write(encode_document(offered))
                 else:
-                    await self._status(message, writer)
-                    if self.answers != "hang":
+                    await self._handle_status(message, writer)
+                    if self.status_mode != "hang":
                         break
         except ConnectionError:
             pass
         finally:
             if stream is not None:
-                stream.closed = True
+                stream.is_closed = True
             self._writers.discard(writer)
             writer.close()
 
-    async def _status(self, message: http.Message, writer: asyncio.StreamWriter) -> None:
-        self.messages += 1
-        if self.answers == "deaf":
+    async def _handle_status(self, message: http.Message, writer: asyncio.StreamWriter) -> None:
+        self.status_request_count += 1
+        if self.status_mode == "unavailable":
             writer.write(http.encode_response(503, "Service Unavailable"))
         else:
             now = time.time_ns() // 1000
-            self.heard += [Heard(now, report) for report in self.report_log.add(read_reports(message.body))]
-            if self.answers == "hear":
+            self.received_reports += [ReceivedReport(now, report)
+                                      for report in self.report_log.add(read_reports(message.body))]
+            if self.status_mode == "accept":
                 writer.write(http.encode_response(204, "No Content"))
         with contextlib.suppress(ConnectionError):
             await writer.drain()
@@ -151,42 +155,43 @@
 
     def send_raw(self, data: bytes) -> None:
         """Send bytes to every router that listens."""
-        for stream in self.open:
+        for stream in self.open_streams:
             stream.writer.write(data)
 
     def send(self, document: Document) -> None:
         """Send a version whole."""
-        self.send_raw(events(document))
+        self.send_raw(encode_document(document))
 
     def publish(self, id: VersionId, plan: Plan, in_force_ms: int = 0) -> Document:
         """Publish a version as a sound service does; returns what those who have the one before were sent."""
         before = self.catalogue.latest
         self.catalogue.publish(id, plan, in_force_ms)
-        document = self.catalogue.document_for(str(before.id) if before is not None and self.deltas else "", False)
+        document = self.catalogue.document_for(
+            str(before.id) if before is not None and self.sends_deltas else "", False)
         assert document is not None
         self.send(document)
         return document
 
-    def cut(self) -> None:
+    def close_streams(self) -> None:
         """Close every stream."""
-        for stream in self.open:
-            stream.closed = True
+        for stream in self.open_streams:
+            stream.is_closed = True
             stream.writer.close()
 
-    def stands(self, id: VersionId) -> list[str]:
+    def reported_states(self, id: VersionId) -> list[str]:
         """What was reported of a version, in the order of its reports."""
-        told = [h.report for h in self.heard if (h.report.epoch, h.report.number) == (id.epoch, id.number)]
+        told = [h.report for h in self.received_reports if (h.report.epoch, h.report.number) == (id.epoch, id.number)]
         return [report.stand for report in sorted(told, key=lambda r: (r.boot, r.seq))]
 
-    def reasons(self, id: VersionId) -> list[str]:
+    def reported_reasons(self, id: VersionId) -> list[str]:
         """Why a version was refused or taken back."""
-        return [h.report.reason for h in self.heard
+        return [h.report.reason for h in self.received_reports
                 if (h.report.epoch, h.report.number) == (id.epoch, id.number) and h.report.reason]
 
 
-def endless(octets: int) -> Iterable[bytes]:
+def encode_endless_version(octets: int) -> Iterable[bytes]:
     """A version that claims to be small and does not end: so many octets of records."""
-    sound = wrong(1, [b'{"kind":"exchange","number":1}'])
+    sound = make_unchecked_document(1, [b'{"kind":"exchange","number":1}'])
     yield sse.encode_event("version", (write_header(sound.header),))
     record = sse.encode_event("records", [b'{"kind":"exchange","number":1}'] * 500)
     for _ in range(octets // len(record) + 1):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -14,7 +14,7 @@
 from astertrack.plan.model import Barred, Choice, Exchange, Limit, Prefix, RetryAdvice, Unmatched
 from astertrack.versions import VersionId, make_document
 from astertrack.wire import sse
-from laboratory.control_service import ControlService, endless, events, wrong
+from laboratory.control_service import ControlService, encode_document, encode_endless_version, make_unchecked_document
 from laboratory.stand_ins import (
     ApiCaller,
     BinaryNode,
@@ -72,7 +72,7 @@
                                                   Choice(3, direct=False, over=[[2]], any_tandem=False),
                                                   Prefix("7", 3), RetryAdvice("unmatched", 300)))
         async with running_router(nodes, versions=make_settings(service)) as router:  # type: ignore[arg-type]
-            await wait_until(lambda: "in-force" in service.stands(VersionId(1, 1)))
+            await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
             sip, api = await SipCaller.connect(router.port), await ApiCaller.connect(router.api_port)
             for number, node in (("51", 1), ("551", 2), ("71", 2)):
                 call, answer = await place_call(sip, number, dest=3)
@@ -103,29 +103,29 @@
         nodes = {n: await BinaryNode().start() for n in (1, 2)}
         service.publish(VersionId(1, 1), make_plan(Prefix("5", 1)))
         async with running_router(nodes, versions=make_settings(service)) as router:  # type: ignore[arg-type]
-            await wait_until(lambda: "in-force" in service.stands(VersionId(1, 1)))
+            await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
             sip = await SipCaller.connect(router.port)
             for number, lines in ((2, [b"{"]), (3, [b'{"kind":"prefix","digits":"5","exchange":9}']),
                                   (4, [b'{"kind":"exchange","number":1}',
                                        b'{"kind":"choice","exchange":1,"over":[[1]]}']),
                                   (5, [b'{"kind":"alias","digits":"12","to":"13"}',
                                        b'{"kind":"alias","digits":"13","to":"12"}'])):
-                service.send(wrong(number, lines))
-                await wait_until(lambda number=number: service.stands(VersionId(1, number)) == ["refused"])
-            assert [service.reasons(VersionId(1, n)) for n in (2, 3, 4, 5)] == [
+                service.send(make_unchecked_document(number, lines))
+                await wait_until(lambda number=number: service.reported_states(VersionId(1, number)) == ["refused"])
+            assert [service.reported_reasons(VersionId(1, n)) for n in (2, 3, 4, 5)] == [
                 ["schema"], ["unknown-exchange"], ["route-through-itself"], ["alias-loop"]]
             later, sooner = make_plan(Prefix("5", 2)), make_plan(Prefix("5", 1))
             service.send(make_document(VersionId(1, 7), later.records(), later.state))
             service.send(make_document(VersionId(1, 6), sooner.records(), sooner.state))
-            await wait_until(lambda: service.stands(VersionId(1, 6)) == ["refused"])
-            assert service.reasons(VersionId(1, 6)) == ["stale"]
+            await wait_until(lambda: service.reported_states(VersionId(1, 6)) == ["refused"])
+            assert service.reported_reasons(VersionId(1, 6)) == ["stale"]
             service.send(make_document(VersionId(1, 7), sooner.records(), sooner.state))
-            await wait_until(lambda: "two-contents" in service.reasons(VersionId(1, 7)))
+            await wait_until(lambda: "two-contents" in service.reported_reasons(VersionId(1, 7)))
             call, answer = await place_call(sip, "51")
             assert answer.status == 200
             assert nodes[2].request_counts[call]
             service.send(make_document(VersionId(2, 1), sooner.records(), sooner.state))
-            await wait_until(lambda: "in-force" in service.stands(VersionId(2, 1)))
+            await wait_until(lambda: "in-force" in service.reported_states(VersionId(2, 1)))
             call, _ = await place_call(sip, "51")
             assert nodes[1].request_counts[call]
             assert router.process.returncode is None
@@ -135,23 +135,23 @@
 
 def test_a_version_truncated_in_a_character_or_anywhere_else_is_dropped_and_requested_again() -> None:
     async def work() -> None:
-        service = await ControlService(offers=False).start()
+        service = await ControlService(sends_latest_on_connect=False).start()
         node = await BinaryNode().start()
         made = build(iter([Exchange(1, "fès-médina"), Prefix("5", 1)]))
         sent = make_document(VersionId(1, 1), made.records(), made.state)
-        data = events(sent)
+        data = encode_document(sent)
         in_character = data.index("è".encode()) + 1
         async with running_router({1: node}, versions=make_settings(service)) as router:
             for index, length in enumerate((in_character, len(data) // 3, len(data) - 3)):
                 await wait_until(lambda index=index: len(service.streams) == index + 1
-                                 and not service.streams[-1].closed)
+                                 and not service.streams[-1].is_closed)
                 service.send_raw(data[:length])
                 await asyncio.sleep(0.05)
-                service.cut()
+                service.close_streams()
             await wait_until(lambda: len(service.streams) == 4)
-            assert not service.stands(VersionId(1, 1))
+            assert not service.reported_states(VersionId(1, 1))
             service.send(sent)
-            await wait_until(lambda: "in-force" in service.stands(VersionId(1, 1)))
+            await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
             counts = await router.stop_and_read_counters()
             assert counts["versions_half_received"] == 2  # the third was truncated within its header
         await service.stop()
@@ -160,21 +160,21 @@
 
 def test_an_unresponsive_stream_is_dropped_and_an_endless_or_malformed_one_affects_nothing_else() -> None:
     async def work() -> None:
-        service = await ControlService(offers=False).start()
+        service = await ControlService(sends_latest_on_connect=False).start()
         node = await BinaryNode().start()
         async with running_router({1: node}, versions=make_settings(service)) as router:
             sip = await SipCaller.connect(router.port)
-            await wait_until(lambda: len(service.open) == 1)
+            await wait_until(lambda: len(service.open_streams) == 1)
             service.send_raw(b"data: \xff\n\n")
-            await wait_until(lambda: len(service.streams) == 2 and len(service.open) == 1)
-            for data in endless(3_000_000):
+            await wait_until(lambda: len(service.streams) == 2 and len(service.open_streams) == 1)
+            for data in encode_endless_version(3_000_000):
                 service.send_raw(data)
             service.send_raw(sse.encode_event("end", (b"{}",)))
-            await wait_until(lambda: service.reasons(VersionId(1, 1)) == ["length"])
+            await wait_until(lambda: service.reported_reasons(VersionId(1, 1)) == ["length"])
             assert (await place_call(sip, "good-1", dest=1))[1].status == 200
-            await wait_until(lambda: len(service.open) == 1)  # it has redialled and requested a full version
-            assert service.streams[-1].asked.full
-            service.comments = False
+            await wait_until(lambda: len(service.open_streams) == 1)  # it has redialled and requested a full version
+            assert service.streams[-1].request.full
+            service.sends_keep_alives = False
             stream_count = len(service.streams)
             await wait_until(lambda: len(service.streams) > stream_count)
             counts = await router.stop_and_read_counters()
@@ -186,20 +186,20 @@
 
 def test_reports_are_repeated_until_confirmed_and_harmless_when_received_twice() -> None:
     async def work() -> None:
-        service = await ControlService(answers="mute").start()
+        service = await ControlService(status_mode="close").start()
         node = await BinaryNode().start()
         service.publish(VersionId(1, 1), make_plan(Prefix("5", 1)))
         async with running_router({1: node}, versions=make_settings(service)):
             # Received, but not confirmed to the router.
             await wait_until(lambda: service.report_log.duplicate_count >= 3)
-            service.answers = "deaf"
-            messages = service.messages
-            await wait_until(lambda: service.messages > messages)
-            service.answers = "hear"
-            await wait_until(lambda: service.messages > messages + 1)
-            assert service.stands(VersionId(1, 1)) == ["accepted", "in-force", "settled"]
+            service.status_mode = "unavailable"
+            request_count = service.status_request_count
+            await wait_until(lambda: service.status_request_count > request_count)
+            service.status_mode = "accept"
+            await wait_until(lambda: service.status_request_count > request_count + 1)
+            assert service.reported_states(VersionId(1, 1)) == ["accepted", "in-force", "settled"]
             await asyncio.sleep(0.5)
-            assert len(service.heard) == 3
+            assert len(service.received_reports) == 3
         await service.stop()
     run(work)
 
@@ -212,7 +212,7 @@
         service.publish(VersionId(1, 1), make_plan(Prefix("5", 1)))
         store = f'[store]\nkind = "sqlite"\ndatabase = "{database}"'
         async with running_router(nodes, gateway=store, versions=make_settings(service)) as router:  # type: ignore[arg-type]
-            await wait_until(lambda: "in-force" in service.stands(VersionId(1, 1)))
+            await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
             api = await ApiCaller.connect(router.api_port)
             for behaviour in ("silent", "long"):  # neither number is in the plan, which keeps the caller's dest
                 api.set_up(new_call_id(), f"{behaviour}-1", 1, 2500)
@@ -222,7 +222,7 @@
             # Version 2 removes exchange 1, at which one call is established and one waits for its answer.
             smaller = build(iter([Exchange(2), Prefix("5", 2), Unmatched(True)]))
             service.publish(VersionId(1, 2), smaller)
-            await wait_until(lambda: "in-force" in service.stands(VersionId(1, 2)))
+            await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 2)))
             api.set_up(third := new_call_id(), "good-1", 1, 2500)
             await wait_until(lambda: api.final_answers(third))
             assert api.final_answers(third)[0]["type"] == "refused"
@@ -245,9 +245,9 @@
         nodes = {n: await BinaryNode().start() for n in (1, 2)}
         service.publish(VersionId(1, 1), make_plan(Prefix("5", 1)))
         async with running_router(nodes, versions=make_settings(service, str(tmp_path))) as router:  # type: ignore[arg-type]
-            await wait_until(lambda: "settled" in service.stands(VersionId(1, 1)))
+            await wait_until(lambda: "settled" in service.reported_states(VersionId(1, 1)))
             service.publish(VersionId(1, 2), make_plan(Prefix("5", 2)))
-            await wait_until(lambda: "settled" in service.stands(VersionId(1, 2)))
+            await wait_until(lambda: "settled" in service.reported_states(VersionId(1, 2)))
             # The report is sent before the store's thread has written the pointer file.
             pointer = tmp_path / "current"
             await wait_until(lambda: pointer.exists() and b'"number":2' in pointer.read_bytes())
@@ -287,7 +287,7 @@
         nodes = {n: await BinaryNode().start() for n in (1, 2)}
         service.publish(VersionId(1, 1), make_plan())
         async with running_router(nodes, versions=make_settings(service, seconds=2.0)) as router:  # type: ignore[arg-type]
-            await wait_until(lambda: "in-force" in service.stands(VersionId(1, 1)))
+            await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
             sip = await SipCaller.connect(router.port)
             stop = False
 
@@ -302,8 +302,8 @@
             await asyncio.sleep(1.5)
             # Calls to exchange 1 may not go direct, and there is no tandem left: they are refused.
             service.publish(VersionId(1, 2), make_plan(Choice(1, direct=False, over=[[3]], any_tandem=False)))
-            await wait_until(lambda: "rolled-back" in service.stands(VersionId(1, 2)))
-            assert service.reasons(VersionId(1, 2)) == ["probation"]
+            await wait_until(lambda: "rolled-back" in service.reported_states(VersionId(1, 2)))
+            assert service.reported_reasons(VersionId(1, 2)) == ["probation"]
             call, answer = await place_call(sip, "good-last", dest=1)
             assert answer.status == 200
             assert nodes[1].request_counts[call]
@@ -320,7 +320,7 @@
         near_zone = [Exchange(1, "casablanca"), Exchange(2, "fes")]
         service.publish(VersionId(1, 1), build(iter(near_zone)))
         async with running_router({1: near, 2: far}, versions=make_settings(service, seconds=2.0)) as router:
-            await wait_until(lambda: "in-force" in service.stands(VersionId(1, 1)))
+            await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
             sip, stop = await SipCaller.connect(router.port), False
             placed_calls: dict[str, tuple[int, float]] = {}
             loop = asyncio.get_running_loop()
@@ -339,7 +339,7 @@
             await asyncio.sleep(0.5)
             # It concerns every call to the cut-off site and no other: over exchange 1 if not direct.
             service.publish(VersionId(1, 2), build(iter([*near_zone, Choice(2, over=[[1]])])))
-            await wait_until(lambda: "settled" in service.stands(VersionId(1, 2)))
+            await wait_until(lambda: "settled" in service.reported_states(VersionId(1, 2)))
             far.is_partitioned = False
             call = ""
             for _ in range(40):
@@ -351,7 +351,7 @@
             await task
             await wait_until(lambda: all(c in sip.final_responses for c in placed_calls))
             assert {len(sip.final_responses[c]) for c in placed_calls} == {1}
-            assert "rolled-back" not in service.stands(VersionId(1, 2))
+            assert "rolled-back" not in service.reported_states(VersionId(1, 2))
             assert near.overlaps + far.overlaps == 0
             near_calls = [c for c, (dest, _) in placed_calls.items() if dest == 1]
             assert sum(sip.final_responses[c][0].status == 200 for c in near_calls) > 0.9 * len(near_calls)
@@ -365,7 +365,7 @@
         node = await BinaryNode().start()
         service.publish(VersionId(1, 1), make_plan(Limit("two", 1, in_hand=2, wait_ms=150)))
         async with running_router({1: node}, versions=make_settings(service)) as router:
-            await wait_until(lambda: "in-force" in service.stands(VersionId(1, 1)))
+            await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
             api = await ApiCaller.connect(router.api_port)
             calls = [new_call_id() for _ in range(3)]
             for call in calls:
@@ -413,7 +413,7 @@
         plans = [make_plan(*(Prefix(f"{d}{n % 10}", 1 + (n + d) % 2) for d in range(40, 60))) for n in range(201)]
         service.publish(VersionId(1, 1), plans[0])
         async with running_router(nodes, versions=make_settings(service)) as router:  # type: ignore[arg-type]
-            await wait_until(lambda: "in-force" in service.stands(VersionId(1, 1)))
+            await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
             sip, api = await SipCaller.connect(router.port), await ApiCaller.connect(router.api_port)
             by_sip, by_api = [new_call_id() for _ in range(100)], [new_call_id() for _ in range(100)]
             for index in range(200):
@@ -425,10 +425,10 @@
                 await asyncio.sleep(0.005)
             await wait_until(lambda: all(c in sip.final_responses for c in by_sip)
                              and all(api.final_answers(c) for c in by_api))
-            await wait_until(lambda: "in-force" in service.stands(VersionId(1, 201)))
+            await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 201)))
             assert {len(sip.final_responses[c]) for c in by_sip} | {len(api.final_answers(c)) for c in by_api} == {1}
-            verdicts = {n: service.stands(VersionId(1, n))[0] for n in range(2, 202)}
-            assert all(v == "accepted" or service.reasons(VersionId(1, n)) == ["superseded"]
+            verdicts = {n: service.reported_states(VersionId(1, n))[0] for n in range(2, 202)}
+            assert all(v == "accepted" or service.reported_reasons(VersionId(1, n)) == ["superseded"]
                        for n, v in verdicts.items())
             assert sum(n.overlaps for n in nodes.values()) == 0
         await service.stop()
