--- a/laboratory/__init__.py
+++ b/laboratory/__init__.py
@@ -1,1 +1,4 @@
-"""Stand-ins, load and experiments: uses the program, and the program never uses it. All on loopback."""
+"""Stand-in peers and callers, a load generator and a demonstration, all on loopback.
+
+This package imports the program; the program never imports it.
+"""
