--- a/laboratory/control_service.py
+++ b/laboratory/control_service.py
@@ -1,7 +1,8 @@
-"""A stand-in control service: sends versions as a script says, good, broken, cut, reordered, in floods or not at all.
+"""A stand-in control service that sends versions as a script tells it to.
 
-It speaks the control wire with the program's own encoders where a version is to be sound, and with bytes of the
-script's own where it is not. It keeps every report with the instant at which it was heard, as the service's log.
+The versions may be valid, invalid, truncated, reordered, sent in bursts or withheld. Valid versions are encoded by
+the program's own encoders, and the script supplies the bytes of the others. The service records every report with
+the time of its receipt, as the log of a real one would.
 """
 
 from __future__ import annotations
@@ -21,24 +22,25 @@
 
 
 def encode_document(document: Document, record_count: int | None = None, with_end: bool = True) -> bytes:
-    """The bytes of a version: all of them, or those of its first records, or all but its end."""
+    """Encode a version: the whole of it, only its header and first records, or all but its end event."""
     lines = document.lines if record_count is None else document.lines[:record_count]
-    parts = list(control.encode_version(write_header(document.header), lines, str(document.header.id)))
-    return b"".join(parts if with_end and record_count is None else parts[:-1])
+    chunks = list(control.encode_version(write_header(document.header), lines, str(document.header.id)))
+    return b"".join(chunks if with_end and record_count is None else chunks[:-1])
 
 
 def make_unchecked_document(number: int, lines: Iterable[bytes], epoch: int = 1, state: int = 0) -> Document:
-    """A document whose lines need not be sound, under a head that fits them."""
-    sound = make_document(VersionId(epoch, number), (), state)
-    given = tuple(lines)
-    text = b"".join(line + b"\n" for line in given)
-    header = Header(epoch, number, len(given), len(text), hashlib.sha256(text).hexdigest(), sound.header.state)
-    return Document(header, given)
+    """Return a document whose lines need not be valid, with a header that matches them in count, length and digest."""
+    valid_document = make_document(VersionId(epoch, number), (), state)
+    records = tuple(lines)
+    text = b"".join(line + b"\n" for line in records)
+    header = Header(epoch, number, len(records), len(text), hashlib.sha256(text).hexdigest(),
+                    valid_document.header.state)
+    return Document(header, records)
 
 
 @dataclass(eq=False)
 class RouterStream:
-    """One router that listens."""
+    """The event stream of one router."""
 
     request: control.StreamRequest
     writer: asyncio.StreamWriter
@@ -48,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """A report, and when it was heard here."""
+    """A report with the time of its receipt, in microseconds of the Unix clock."""
 
     received_at_us: int
     report: Report
@@ -56,19 +58,19 @@
 
 @dataclass
 class ControlService:
-    """The service. `catalogue` answers who connects, as a sound service does; the rest is up to the script."""
+    """The service. Routers that connect are served from `catalogue`, as by a real service; the script does the rest."""
 
     catalogue: Catalogue = field(default_factory=Catalogue)
     report_log: ReportLog = field(default_factory=ReportLog)
-    received_reports: list[ReceivedReport] = field(default_factory=list)  # each report once, in the order heard
-    streams: list[RouterStream] = field(default_factory=list)  # all there have been
+    received_reports: list[ReceivedReport] = field(default_factory=list)  # without repetitions, in order of receipt
+    streams: list[RouterStream] = field(default_factory=list)  # including those that are closed
     # How status requests are answered: "accept" (204), "unavailable" (503, the reports are discarded), "close" (the
     # reports are recorded and the connection is closed without a response), "hang" (as "close", but it stays open).
     status_mode: str = "accept"
-    sends_latest_on_connect: bool = True  # whether who connects is sent the latest version
+    sends_latest_on_connect: bool = True
     sends_keep_alives: bool = True
     status_request_count: int = 0
-    sends_deltas: bool = True  # whether what is published goes out as a delta where it can
+    sends_deltas: bool = True  # publish() sends a delta where there is a base
 
     def __post_init__(self) -> None:
         self._server: asyncio.Server | None = None
@@ -77,7 +79,7 @@
         self.port = 0
 
     async def start(self, port: int = 0) -> Self:
-        """Listen on loopback."""
+        """Listen on loopback, on this port or on a free one."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port, limit=1 << 22)
         self.port = self._server.sockets[0].getsockname()[1]
         self._task = asyncio.get_running_loop().create_task(self._send_keep_alives())
@@ -85,16 +87,16 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The host and port that it listens on."""
         return f"127.0.0.1:{self.port}"
 
     @property
     def open_streams(self) -> list[RouterStream]:
-        """The routers that listen now."""
+        """The streams that are open now."""
         return [stream for stream in self.streams if not stream.is_closed]
 
     async def stop(self) -> None:
-        """Refuse new connections and close the open ones."""
+        """Stop listening and close the open connections."""
         if self._task is not None:
             self._task.cancel()
         if self._server is not None:
@@ -110,22 +112,22 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
-        machine = http.MessageDecoder(http.MessageKind.REQUEST)
+        decoder = http.MessageDecoder(http.MessageKind.REQUEST)
         stream = None
         try:
             while data := await reader.read(65536):
-                message = machine.receive(data)
+                message = decoder.receive(data)
                 if not isinstance(message, http.Message):
                     continue
-                asked = control.parse_stream_request(message)
-                if asked is not None:
-                    stream = RouterStream(asked, writer, time.time_ns() // 1000)
+                request = control.parse_stream_request(message)
+                if request is not None:
+                    stream = RouterStream(request, writer, time.time_ns() // 1000)
                     self.streams.append(stream)
                     writer.write(http.encode_stream_head())
-                    offered = (self.catalogue.document_for(asked.after, asked.full)
-                               if self.sends_latest_on_connect else None)
-                    if offered is not None:
-                        writer.write(encode_document(offered))
+                    document = (self.catalogue.document_for(request.after, request.full)
+                                if self.sends_latest_on_connect else None)
+                    if document is not None:
+                        writer.write(encode_document(document))
                 else:
                     await self._handle_status(message, writer)
                     if self.status_mode != "hang":
@@ -143,31 +145,34 @@
         if self.status_mode == "unavailable":
             writer.write(http.encode_response(503, "Service Unavailable"))
         else:
-            now = time.time_ns() // 1000
-            self.received_reports += [ReceivedReport(now, report)
+            now_us = time.time_ns() // 1000
+            self.received_reports += [ReceivedReport(now_us, report)
                                       for report in self.report_log.add(read_reports(message.body))]
             if self.status_mode == "accept":
                 writer.write(http.encode_response(204, "No Content"))
         with contextlib.suppress(ConnectionError):
             await writer.drain()
 
-    # ---- what a script does
+    # ---- called by scripts
 
     def send_raw(self, data: bytes) -> None:
-        """Send bytes to every router that listens."""
+        """Write bytes to every open stream."""
         for stream in self.open_streams:
             stream.writer.write(data)
 
     def send(self, document: Document) -> None:
-        """Send a version whole."""
+        """Send a complete version on every open stream."""
         self.send_raw(encode_document(document))
 
     def publish(self, id: VersionId, plan: Plan, in_force_ms: int = 0) -> Document:
-        """Publish a version as a sound service does; returns what those who have the one before were sent."""
-        before = self.catalogue.latest
+        """Publish a version as a real service does.
+
+        Returns the document that was sent, which is a delta from the previous version where possible.
+        """
+        previous = self.catalogue.latest
         self.catalogue.publish(id, plan, in_force_ms)
         document = self.catalogue.document_for(
-            str(before.id) if before is not None and self.sends_deltas else "", False)
+            str(previous.id) if previous is not None and self.sends_deltas else "", False)
         assert document is not None
         self.send(document)
         return document
@@ -179,20 +184,22 @@
             stream.writer.close()
 
     def reported_states(self, id: VersionId) -> list[str]:
-        """What was reported of a version, in the order of its reports."""
-        told = [h.report for h in self.received_reports if (h.report.epoch, h.report.number) == (id.epoch, id.number)]
-        return [report.stand for report in sorted(told, key=lambda r: (r.boot, r.seq))]
+        """Return the states reported for a version, in the order in which the routers sent them."""
+        reports = [received.report for received in self.received_reports
+                   if (received.report.epoch, received.report.number) == (id.epoch, id.number)]
+        return [report.stand for report in sorted(reports, key=lambda entry: (entry.boot, entry.seq))]
 
     def reported_reasons(self, id: VersionId) -> list[str]:
-        """Why a version was refused or taken back."""
-        return [h.report.reason for h in self.received_reports
-                if (h.report.epoch, h.report.number) == (id.epoch, id.number) and h.report.reason]
-
-
-def encode_endless_version(octets: int) -> Iterable[bytes]:
-    """A version that claims to be small and does not end: so many octets of records."""
-    sound = make_unchecked_document(1, [b'{"kind":"exchange","number":1}'])
-    yield sse.encode_event("version", (write_header(sound.header),))
-    record = sse.encode_event("records", [b'{"kind":"exchange","number":1}'] * 500)
-    for _ in range(octets // len(record) + 1):
-        yield record
+        """Return the reasons reported for the refusal or rollback of a version."""
+        return [received.report.reason for received in self.received_reports
+                if (received.report.epoch, received.report.number) == (id.epoch, id.number)
+                and received.report.reason]
+
+
+def encode_endless_version(byte_count: int) -> Iterable[bytes]:
+    """Yield a version whose header announces one record, followed by at least so many bytes of records and no end."""
+    announced = make_unchecked_document(1, [b'{"kind":"exchange","number":1}'])
+    yield sse.encode_event("version", (write_header(announced.header),))
+    chunk = sse.encode_event("records", [b'{"kind":"exchange","number":1}'] * 500)
+    for _ in range(byte_count // len(chunk) + 1):
+        yield chunk
