--- a/laboratory/watched.py
+++ b/laboratory/watched.py
@@ -1,7 +1,7 @@
-"""Start the program as the platform does, and tell at its end how long the longest turn of its reactor took.
+"""Starts the program as the platform does, and reports at its end the longest turn of its reactor.
 
-A turn is what lies between two waits for events: nothing else is served meanwhile. Told in wall time and in the
-processor time of the thread, since a shared machine adds to the first what it takes away.
+A turn is the time between two waits for events, during which nothing else is served. It is measured in wall time and
+in the CPU time of the thread, since on a shared machine the wall time includes the time in which others run.
 """
 
 from __future__ import annotations
@@ -17,56 +17,58 @@
 
 from astertrack.__main__ import main
 
-TRACE_S = float(os.environ.get("WATCH_TRACE_MS", "0")) / 1000  # turns longer than this are told with where they were
+# The stack is printed during turns longer than this; 0 turns it off.
+TRACE_THRESHOLD_S = float(os.environ.get("WATCH_TRACE_MS", "0")) / 1000
 
 
-def trace(_: int, frame: Any) -> None:
-    """Tell where a long turn is."""
-    print("long turn:", " < ".join(f"{f.name}:{f.lineno}" for f in reversed(traceback.extract_stack(frame)[-7:])),
+def print_stack(_: int, frame: Any) -> None:
+    """Print the innermost frames of a long turn; called by SIGALRM."""
+    print("long turn:",
+          " < ".join(f"{entry.name}:{entry.lineno}" for entry in reversed(traceback.extract_stack(frame)[-7:])),
           file=sys.stderr, flush=True)
 
 
-class Watched:
-    """The reactor's poller, with a clock on either side of its wait."""
+class TimedPoller:
+    """Wraps the poller of the reactor and measures the time between its waits."""
 
     def __init__(self, poller: Any) -> None:
         self._poller = poller
-        self._began: tuple[float, float] | None = None
-        self.walls: list[float] = []
-        self.longest_cpu = 0.0
+        self._turn_started: tuple[float, float] | None = None  # wall time and CPU time
+        self.wall_times_s: list[float] = []  # of the turns longer than 1 ms
+        self.longest_cpu_s = 0.0
 
-    def poll(self, *values: Any) -> Any:
+    def poll(self, *arguments: Any) -> Any:
         """Wait for events."""
-        if self._began is not None:
-            wall, cpu = time.perf_counter() - self._began[0], time.thread_time() - self._began[1]
-            self.longest_cpu = max(self.longest_cpu, cpu)
-            if wall > 0.001:
-                self.walls.append(wall)
-        if TRACE_S:
+        if self._turn_started is not None:
+            wall_s, cpu_s = time.perf_counter() - self._turn_started[0], time.thread_time() - self._turn_started[1]
+            self.longest_cpu_s = max(self.longest_cpu_s, cpu_s)
+            if wall_s > 0.001:
+                self.wall_times_s.append(wall_s)
+        if TRACE_THRESHOLD_S:
             signal.setitimer(signal.ITIMER_REAL, 0)
-        events = self._poller.poll(*values)
-        if TRACE_S:
-            signal.setitimer(signal.ITIMER_REAL, TRACE_S)
-        self._began = time.perf_counter(), time.thread_time()
+        events = self._poller.poll(*arguments)
+        if TRACE_THRESHOLD_S:
+            signal.setitimer(signal.ITIMER_REAL, TRACE_THRESHOLD_S)
+        self._turn_started = time.perf_counter(), time.thread_time()
         return events
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._poller, name)
 
 
-def watched_main() -> int:
-    """Run the program; returns its exit code."""
+def run_timed() -> int:
+    """Run the program, print the times of its turns to standard error, and return its exit code."""
     reactor: Any = default_reactor
-    watched = reactor._poller = Watched(reactor._poller)
-    if TRACE_S:
-        signal.signal(signal.SIGALRM, trace)
-    code = main()
+    poller = reactor._poller = TimedPoller(reactor._poller)
+    if TRACE_THRESHOLD_S:
+        signal.signal(signal.SIGALRM, print_stack)
+    exit_code = main()
     signal.setitimer(signal.ITIMER_REAL, 0)
-    walls = sorted(watched.walls) or [0.0]
-    print(f"turns longest_us={int(walls[-1] * 1e6)} longest_cpu_us={int(watched.longest_cpu * 1e6)} "
-          f"over_10_ms={sum(wall > 0.010 for wall in walls)}", file=sys.stderr, flush=True)
-    return code
+    wall_times_s = sorted(poller.wall_times_s) or [0.0]
+    print(f"turns longest_us={int(wall_times_s[-1] * 1e6)} longest_cpu_us={int(poller.longest_cpu_s * 1e6)} "
+          f"over_10_ms={sum(wall_s > 0.010 for wall_s in wall_times_s)}", file=sys.stderr, flush=True)
+    return exit_code
 
 
 if __name__ == "__main__":
-    sys.exit(watched_main())
+    sys.exit(run_timed())
