--- a/benchmarks/config_versions.py
+++ b/benchmarks/config_versions.py
@@ -25,7 +25,7 @@
 from astertrack.versions import Document, VersionId, make_document, write_header
 from astertrack.wire import sse
 from laboratory.control_service import ControlService, encode_document, make_unchecked_document
-from laboratory.load import Load
+from laboratory.load import LoadProcess
 from laboratory.stand_ins import running_router
 
 EXCHANGES = [Exchange(n, "casablanca" if n % 2 else "fes") for n in range(1, 5)]
@@ -301,7 +301,7 @@
     service = await ControlService().start()
     script = Script(service, random.Random(source.random()))
     script.prepared = script.large()
-    load = await Load.start(4, source.getrandbits(32), rate, seconds, calls)
+    load = await LoadProcess.start(4, source.getrandbits(32), rate, seconds, calls)
     with tempfile.TemporaryDirectory() as folder:
         database = Path(folder) / "calls.db"
         text = (f'[service]\naddress = "{service.address}"\n[store]\nfolder = "{folder}/versions"\n'
@@ -310,7 +310,7 @@
         async with running_router(load.nodes, gateway=store, versions=text, module="laboratory.watched") as router:
             until = time.monotonic() + seconds
             versions = asyncio.create_task(script.play(until - 2.0))
-            offered = await load.play(router.port, router.api_port)
+            offered = await load.run(router.port, router.api_port)
             await versions
             end = time.monotonic() + WAIT_S
             while wrong_verdicts(script) and time.monotonic() < end:
@@ -339,9 +339,9 @@
 
 async def without(seed: int, seconds: float, rate: float) -> dict[str, Any]:
     """Play the calls alone, with no plan and no service: the turns that are not the versions'."""
-    load = await Load.start(4, seed, rate, seconds)
+    load = await LoadProcess.start(4, seed, rate, seconds)
     async with running_router(load.nodes, module="laboratory.watched") as router:
-        offered = await load.play(router.port, router.api_port)
+        offered = await load.run(router.port, router.api_port)
         await router.stop_and_read_counters()
         turns = dict(word.split("=") for word in router.log_path.read_text().splitlines()[-1].split()[1:])
     return {"seed": seed, **offered, "longest_turn_ms": int(turns["longest_us"]) / 1000,
--- a/laboratory/load.py
+++ b/laboratory/load.py
@@ -1,7 +1,8 @@
-"""Nodes and callers in a process of their own, so that nothing else of a measurement holds them up.
+"""Stand-in exchanges and callers in a process of their own, so that the rest of a measurement does not delay them.
 
-The parent starts it, reads the nodes' addresses from its first line, writes the router's ports to it, and reads the
-figures from its last line. Calls come through SIP and WebSocket in turn, at an even rate.
+The parent process starts it, reads the addresses of the exchanges from its first line of output, writes the router's
+ports to its input, and reads the results from its last line of output. Calls are placed alternately by SIP and over
+WebSocket, at a constant rate.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 
 from laboratory.stand_ins import ROOT, ApiCaller, BinaryNode, Node, SipCaller
 
-WORDS = ("full", "fault", "silent", "cut", "reset")  # what the nodes do with numbers of these words
-WORD_SHARE = 0.08  # of the calls
-WAITS_MS = (400, 1_500, 3_000)
-CONNECTIONS = 4  # of each front
-ANSWERS_S = 8.0  # that the last calls are waited for
+FAILURE_WORDS = ("full", "fault", "silent", "cut", "reset")  # called numbers for which a stand-in fails in this way
+FAILURE_FRACTION = 0.08  # of the calls
+CALL_TIMEOUTS_MS = (400, 1_500, 3_000)
+CONNECTIONS_PER_FRONT = 4
+FINAL_ANSWER_TIMEOUT_S = 8.0  # after the last call was placed
 
 
 class RemoteNode(Node):
-    """A node of the other process, as far as a router's configuration needs it."""
+    """A node in the other process; it has only the address, which is what a router's configuration needs."""
 
     def __init__(self, address: str) -> None:
         super().__init__()
@@ -34,112 +35,115 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The host and port that it listens on."""
         return self._address
 
 
-class Offering:
-    """Calls to numbers of digits, each to a number of its own, and some to words."""
-
-    def __init__(self, source: random.Random, exchanges: list[int]) -> None:
-        self.source, self.exchanges = source, exchanges
-        self.sips: list[SipCaller] = []
-        self.apis: list[ApiCaller] = []
-        self.by: dict[str, SipCaller | ApiCaller] = {}
-
-    async def play(self, sip_port: int, api_port: int, rate: float, seconds: float, most: int) -> None:
-        """Offer calls for so long, or so many."""
-        self.sips = [await SipCaller.connect(sip_port) for _ in range(CONNECTIONS)]
-        self.apis = [await ApiCaller.connect(api_port) for _ in range(CONNECTIONS)]
-        at, began = 0, time.monotonic()
-        while time.monotonic() < began + seconds and at < most:
-            call, word = f"{at + 1:016x}", self.source.random()
-            number = (f"{self.source.choice(WORDS)}-{at}" if word < WORD_SHARE else
-                      f"{self.source.randrange(10**9):09}")
-            dest, wait_ms = self.source.choice(self.exchanges), self.source.choice(WAITS_MS)
+class CallGenerator:
+    """Places calls to random numbers of digits, and a fraction of them to words that make a stand-in fail."""
+
+    def __init__(self, rng: random.Random, exchanges: list[int]) -> None:
+        self.rng, self.exchanges = rng, exchanges
+        self.sip_callers: list[SipCaller] = []
+        self.api_callers: list[ApiCaller] = []
+        self.caller_by_call: dict[str, SipCaller | ApiCaller] = {}
+
+    async def place_calls(self, sip_port: int, api_port: int, rate: float, seconds: float, max_calls: int) -> None:
+        """Place calls at a rate per second, until the time or the number of calls is reached."""
+        self.sip_callers = [await SipCaller.connect(sip_port) for _ in range(CONNECTIONS_PER_FRONT)]
+        self.api_callers = [await ApiCaller.connect(api_port) for _ in range(CONNECTIONS_PER_FRONT)]
+        index, started_s = 0, time.monotonic()
+        while time.monotonic() < started_s + seconds and index < max_calls:
+            call, draw = f"{index + 1:016x}", self.rng.random()
+            number = (f"{self.rng.choice(FAILURE_WORDS)}-{index}" if draw < FAILURE_FRACTION else
+                      f"{self.rng.randrange(10**9):09}")
+            dest, wait_ms = self.rng.choice(self.exchanges), self.rng.choice(CALL_TIMEOUTS_MS)
             caller: SipCaller | ApiCaller
-            if at % 2:
-                caller = self.sips[at // 2 % CONNECTIONS]
+            if index % 2:
+                caller = self.sip_callers[index // 2 % CONNECTIONS_PER_FRONT]
                 caller.invite(call, number, dest, wait_ms)
             else:
-                caller = self.apis[at // 2 % CONNECTIONS]
+                caller = self.api_callers[index // 2 % CONNECTIONS_PER_FRONT]
                 caller.set_up(call, number, dest, wait_ms)
-            self.by[call] = caller
-            at += 1
-            await asyncio.sleep(max(0.0, began + at / rate - time.monotonic()))
-
-    def finals(self) -> Counter[int]:
-        """Return how many calls got no final answer, one, and several."""
-        told: Counter[str] = Counter()
-        for api in self.apis:
-            told.update(m["id"] for m in api.received_messages if m["type"] in ("answer", "refused", "failed"))
-        for sip in self.sips:
-            told.update({call: len(answers) for call, answers in sip.final_responses.items()})
-        return Counter(min(2, told[call]) for call in self.by)
-
-    def closed(self) -> int:
-        """Return how many connections the router has closed on us."""
-        return sum(caller.task.done() for caller in self.sips) + sum(caller.task.done() for caller in self.apis)
-
-
-async def play(nodes: int, seed: int, rate: float, seconds: float, most: int) -> dict[str, Any]:
-    """Be the process: addresses out, ports in, figures back."""
-    exchanges = {n: await BinaryNode().start() for n in range(1, nodes + 1)}
-    print(json.dumps({n: node.address for n, node in exchanges.items()}), flush=True)
+            self.caller_by_call[call] = caller
+            index += 1
+            await asyncio.sleep(max(0.0, started_s + index / rate - time.monotonic()))
+
+    def count_final_answers(self) -> Counter[int]:
+        """Return the number of calls with no final answer (key 0), with one (1), and with more than one (2)."""
+        answer_counts: Counter[str] = Counter()
+        for api in self.api_callers:
+            answer_counts.update(message["id"] for message in api.received_messages
+                                 if message["type"] in ("answer", "refused", "failed"))
+        for sip in self.sip_callers:
+            answer_counts.update({call: len(answers) for call, answers in sip.final_responses.items()})
+        return Counter(min(2, answer_counts[call]) for call in self.caller_by_call)
+
+    def count_closed_connections(self) -> int:
+        """Return the number of connections that the router has closed."""
+        return (sum(caller.task.done() for caller in self.sip_callers)
+                + sum(caller.task.done() for caller in self.api_callers))
+
+
+async def run_load(node_count: int, seed: int, rate: float, seconds: float, max_calls: int) -> dict[str, Any]:
+    """Do the work of the process: print the addresses, read the ports, place the calls, and return the results."""
+    exchanges = {number: await BinaryNode().start() for number in range(1, node_count + 1)}
+    print(json.dumps({number: node.address for number, node in exchanges.items()}), flush=True)
     line = await asyncio.to_thread(sys.stdin.readline)
     ports = json.loads(line)
-    offering = Offering(random.Random(seed), list(exchanges))
-    await offering.play(ports["sip"], ports["api"], rate, seconds, most)
-    end = time.monotonic() + ANSWERS_S
-    while offering.finals()[0] and time.monotonic() < end:
+    generator = CallGenerator(random.Random(seed), list(exchanges))
+    await generator.place_calls(ports["sip"], ports["api"], rate, seconds, max_calls)
+    deadline_s = time.monotonic() + FINAL_ANSWER_TIMEOUT_S
+    while generator.count_final_answers()[0] and time.monotonic() < deadline_s:
         await asyncio.sleep(0.1)
-    finals = offering.finals()
-    await asyncio.sleep(0.5)  # a second answer would come about now
-    finals, closed = offering.finals(), offering.closed()
-    for caller in offering.sips:
+    answer_counts = generator.count_final_answers()
+    await asyncio.sleep(0.5)  # a duplicate final answer would arrive within this time
+    answer_counts, closed_connections = generator.count_final_answers(), generator.count_closed_connections()
+    for caller in generator.sip_callers:
         caller.close()
-    for client in offering.apis:
+    for client in generator.api_callers:
         client.close()
     for node in exchanges.values():
         node.stop()
     await asyncio.sleep(0.1)
-    return {"calls": len(offering.by), "final_missing": finals[0], "final_double": finals[2],
-            "overlaps": sum(node.overlaps for node in exchanges.values()), "closed": closed}
+    return {"calls": len(generator.caller_by_call), "final_missing": answer_counts[0],
+            "final_double": answer_counts[2],
+            "overlaps": sum(node.overlaps for node in exchanges.values()), "closed": closed_connections}
 
 
-class Load:
-    """The parent's end."""
+class LoadProcess:
+    """The load process as its parent sees it."""
 
     def __init__(self, process: asyncio.subprocess.Process, nodes: dict[int, Node]) -> None:
         self.process, self.nodes = process, nodes
 
     @classmethod
-    async def start(cls, nodes: int, seed: int, rate: float, seconds: float, most: int = 10**9) -> Self:
-        """Start the process, and learn where its nodes listen."""
+    async def start(cls, node_count: int, seed: int, rate: float, seconds: float, max_calls: int = 10**9) -> Self:
+        """Start the process and read the addresses of its nodes; rate is in calls per second."""
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "laboratory.load", "--nodes", str(nodes), "--seed", str(seed), "--rate", str(rate),
-            "--seconds", str(seconds), "--most", str(most), cwd=ROOT, stdin=asyncio.subprocess.PIPE,
+            sys.executable, "-m", "laboratory.load", "--nodes", str(node_count), "--seed", str(seed), "--rate",
+            str(rate), "--seconds", str(seconds), "--most", str(max_calls), cwd=ROOT, stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE)
         assert process.stdout is not None
         addresses = json.loads(await process.stdout.readline())
-        return cls(process, {int(n): RemoteNode(address) for n, address in addresses.items()})
+        return cls(process, {int(number): RemoteNode(address) for number, address in addresses.items()})
 
-    async def play(self, sip_port: int, api_port: int) -> dict[str, Any]:
-        """Let it offer its calls, and return its figures."""
+    async def run(self, sip_port: int, api_port: int) -> dict[str, Any]:
+        """Let it place its calls through a router, and return its results."""
         output, _ = await self.process.communicate(json.dumps({"sip": sip_port, "api": api_port}).encode() + b"\n")
-        figures: dict[str, Any] = json.loads(output.splitlines()[-1])
-        return figures
+        results: dict[str, Any] = json.loads(output.splitlines()[-1])
+        return results
 
 
 @click.command()
-@click.option("--nodes", type=int, default=4, help="Stand-in exchanges, numbered from 1.")
+@click.option("--nodes", "node_count", type=int, default=4, help="Stand-in exchanges, numbered from 1.")
 @click.option("--seed", type=int, default=1)
-@click.option("--rate", type=float, default=200.0, help="Calls a second, both fronts together.")
+@click.option("--rate", type=float, default=200.0, help="Calls per second, over both fronts together.")
 @click.option("--seconds", type=float, default=10.0)
-@click.option("--most", type=int, default=10**9, help="Calls at most.")
-def main(nodes: int, seed: int, rate: float, seconds: float, most: int) -> None:
-    """Nodes and callers for a router that the parent process has."""
-    print(json.dumps(asyncio.run(play(nodes, seed, rate, seconds, most))), flush=True)
+@click.option("--most", "max_calls", type=int, default=10**9, help="Maximum number of calls.")
+def main(node_count: int, seed: int, rate: float, seconds: float, max_calls: int) -> None:
+    """Run stand-in exchanges and callers for a router that the parent process runs."""
+    print(json.dumps(asyncio.run(run_load(node_count, seed, rate, seconds, max_calls))), flush=True)
 
 
 if __name__ == "__main__":
