--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, one file each: `python -m benchmarks.NAME --seed N`; the last line printed is one JSON object."""
+"""Benchmarks, one per file: `python -m benchmarks.NAME --seed N`. The last line printed is a JSON object."""
