--- a/ospreylug/interface.py
+++ b/ospreylug/interface.py
@@ -97,8 +97,8 @@
 class Tenant:
     """A customer that shares the network with others. Not read by Controller."""
 
-    fraction: float
-    quota_per_s: float
+    fraction: float  # its share of the service
+    quota_per_s: float  # requests per second within that share, over all controllers
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,19 +114,19 @@
     topology: Topology
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()  # not read by Controller
-    over_share_worth: float = 1.0  # not read by Controller
+    over_share_worth: float = 1.0  # fraction of the worth, for calls above a tenant's share; not read by Controller
     zone: int = -1  # of the own exchange; -1: unknown; not read by Controller
     max_attempts: int = 1  # per call
     release_us: int = 0  # wait before the next attempt after a time-out, a lost connection or a cancellation
-    resend_us: int = 0  # not read by Controller
-    drain_grace_us: int = 0  # not read by Controller
+    resend_us: int = 0  # resend time of a waiting set-up, doubled at each resend; 0: never; not read by Controller
+    drain_grace_us: int = 0  # time to stop sending to a draining or gone exchange; not read by Controller
     cold_from: float = 1.0  # fraction of its capacity that a processor has when it starts
     cold_us: int = 0  # warm-up time of a processor after its start
     fall_multiple: float = 1.0  # a cold processor is overloaded above this multiple of its capacity
     fall_us: int = 0  # time over which that load is measured
-    answer_grace_us: int = 0  # how long after its deadline a call may still be answered; not read by Controller
+    answer_grace_us: int = 0  # how long after the deadline a final answer still counts; not read by Controller
     roster_on_request: bool = False  # the roster is sent on request only
-    ask_every_us: int = 0  # period within which a roster on request has to be requested again
+    ask_every_us: int = 0  # without a request for this long, a roster on request counts as this old
     may_probe: bool = False  # Probe is allowed; not read by Controller
     may_message: bool = False  # TellPeers is allowed; not read by Controller
     may_call_off: bool = False  # CallOff is allowed; not read by Controller
@@ -183,7 +183,7 @@
     zone: int  # -1: unknown
     kind: int = 0  # type of its hardware; not read by Controller
     readiness: Readiness = Readiness.READY
-    weight: float = 1.0  # not read by Controller
+    weight: float = 1.0  # relative to those of other entries; not read by Controller
     started_us: int | None = None  # when its processor started; None: unknown, taken as warmed up
 
 
--- a/ospreylug/logic.py
+++ b/ospreylug/logic.py
@@ -15,12 +15,12 @@
 GRADING_PERIOD_US = 1_000_000  # the grade of every processor is updated once per period
 MAX_SAMPLING_PERIODS = 4  # periods over which the samples of little traffic add up, to reach MIN_SAMPLES
 HYSTERESIS = 0.1  # fraction by which the load has to pass a threshold before the grade changes
-# Mean delays where FAIR and HEAVY begin, in minimum delays; provisionally 4 and 8 in the original design.
+# Mean delays where FAIR and HEAVY begin, in minimum ones; 4 and 8 in the design, which leaves them open.
 W1_MULTIPLE, W2_MULTIPLE = 5.0, 10.0
 MAX_W2_US = 500_000.0
 MAX_MIN_DELAY_US = MAX_W2_US / 2  # also the default; a higher one was learned in congestion; keeps W1 < W2
 MIN_SAMPLES = 5  # delay samples needed before a grade may rise
-TRUNK_RESERVATION = 2.0  # circuits that transit, alternative-route and late calls leave free; at first 1+
+TRUNK_RESERVATION = 2.0  # circuits that transit, overflow and late calls leave free; the design has 1 or more
 BUSY_NUMBER_BACKOFF_US = 1_000_000  # time without further calls to a number whose lines were all busy
 MAX_FURTHER_ATTEMPTS = 1  # after the first, +1 while the own grade is LIGHT; more feed a congestion collapse
 MIN_SET_UP_TIMEOUT_US = 300_000  # even if the aim is nearer or past; never beyond the caller's deadline
@@ -30,7 +30,7 @@
 TANDEM_SAMPLE_SIZE = 8  # tandems drawn, of which that with most free circuits is used; maximum remembered
 HEAVY_ONLY_WORTH_RATIO = 2.0  # of worth_per_circuit_time to the least: above, refusal only at HEAVY
 RESERVATION_WORTH_RATIO = 1.2  # of worth_per_circuit_time: above, the class worth more has a reservation
-ROSTER_REQUEST_RATIO = 0.25  # of ask_every_us; interval at which a roster is requested again
+ROSTER_REQUEST_RATIO = 0.25  # of ask_every_us between requests: three may fail before one is overdue
 OWN_DELAY_QUANTILE = 0.25  # low quantile of all set-up delays; shows the delay at the own processor
 MAX_RESERVED_FRACTION = 0.1  # of a group's circuits reserved for classes worth more; at least one circuit
 MAX_HOLD_BACK_FRACTION = 0.95  # a report that asks for more counts as this: 1 would be an infinite delay
@@ -291,7 +291,7 @@
         for state in self.exchanges.values():
             before = state.grade
             state.update_grade(self.now_us)
-            if Grade.HEAVY in (before, state.grade) and before is not state.grade:
+            if Grade.HEAVY in (before, state.grade) and before is not state.grade:  # no set-ups at HEAVY
                 self.actions.append(io.Log(
                     f"exchange {state.entry.number}: {before.name} -> {state.grade.name}"))
         self._update_own_grade()
