--- a/astertrack/app.py
+++ b/astertrack/app.py
@@ -13,11 +13,11 @@
 from astertrack.core import Gate, Router
 from astertrack.net.apilink import ApiLink
 from astertrack.net.bulletin import Bulletin, read_event
-from astertrack.net.callers import CallerFront
+from astertrack.net.callers import SipFront
 from astertrack.net.clock import ReactorClock
 from astertrack.net.links import Link
 from astertrack.net.peers import Endpoint, PeerLink, PeerTable
-from astertrack.net.websocket import CallFront
+from astertrack.net.websocket import ApiFront
 from astertrack.parts import load_parts
 from astertrack.parts.model import PartContext
 from astertrack.store import make_store
@@ -51,12 +51,12 @@
         self.router = Router(config.settings, config.seed, self.clock, self.peers, log.info, self.store.record,
                              self._release_orphan, Gate(policies, log.warning, self.counts, bool(policies)),
                              self.counts)
-        self.sip_front = CallerFront(self.router, self.clock, config.classes, self.counts,
-                                 max(8, int(config.sockets * SIP_DESCRIPTOR_RATIO)))
+        self.sip_front = SipFront(self.router, self.clock, config.classes, self.counts,
+                                  max(8, int(config.sockets * SIP_DESCRIPTOR_RATIO)))
         self.destination_paths = {d.name: d.path for d in config.gateway.destinations}
         self.destinations = [Endpoint(d.address, io.Entry(d.name, d.number, d.zone))
                              for d in config.gateway.destinations]
-        self.api_front: CallFront | None = None
+        self.api_front: ApiFront | None = None
         self.listeners: list[Any] = []
         self.bulletin = Bulletin(config.bulletin, config.known_last, config.zones, config.kinds, self.clock,
                                  self.counts, lambda complete, changed: self._apply_roster(
@@ -100,8 +100,8 @@
             config.port, self.sip_front, backlog=LISTEN_BACKLOG, interface=config.host))
         if config.gateway.front is not None:
             host, port = config.gateway.front
-            self.api_front = CallFront(self.router, self.clock, config.classes, self.counts,
-                                       config.gateway.path, max(8, int(config.sockets * API_DESCRIPTOR_RATIO)))
+            self.api_front = ApiFront(self.router, self.clock, config.classes, self.counts,
+                                      config.gateway.path, max(8, int(config.sockets * API_DESCRIPTOR_RATIO)))
             self.listeners.append(self.reactor.listenTCP(
                 port, self.api_front, backlog=LISTEN_BACKLOG, interface=host))
         if config.bulletin:
--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -126,7 +126,8 @@
     def probe(self) -> None:
         """Ping the destination, and report whether it is connected without waiting for the pong.
 
-        A pong says nothing about the load of its processor.
+        A pong says nothing about the load of its processor. The result comes from a timer, as an answer from the
+        network would come.
         """
         is_connected = self.connection is not None
         if isinstance(self.connection, ApiConnection):
--- a/astertrack/net/callers.py
+++ b/astertrack/net/callers.py
@@ -27,8 +27,8 @@
 SERVICE_UNAVAILABLE, SERVER_INTERNAL_ERROR, REQUEST_TERMINATED, BAD_REQUEST = 503, 500, 487, 400
 READ_BUFFER_BYTES = 4096  # read from one connection per reactor iteration: about ten set-ups
 SWEEP_INTERVAL_US = 250_000  # between checks of the connections and the pending releases
-# A connection whose first message, or the message it has begun, is not complete after this time is closed: callers must
-# get an answer or the close within 3 s.
+# A connection whose first message, or the message it has begun, is not complete after this time is closed: a caller
+# must get an answer or the close within 3 s of connecting.
 MESSAGE_TIMEOUT_US = 2_400_000
 IDLE_TIMEOUT_US = 5_000_000  # for connections without a pending set-up; callers themselves close theirs after 4 s
 WRITE_BLOCKED_TIMEOUT_US = 2_000_000  # for connections whose caller does not read what it is sent
@@ -51,7 +51,7 @@
     tried_connections: list[CallerConnection] = field(default_factory=list)  # on which it was sent
 
 
-class CallerFront(Factory):
+class SipFront(Factory):
     """All connections from callers."""
 
     def __init__(self, router: Router, clock: Clock, classes: dict[str, int], counts: Counter[str],
@@ -125,7 +125,7 @@
 
     def _check_release(self, call: str, release: PendingRelease, now_us: int) -> None:
         if not release.tried_connections:
-            # It was not sent, for want of a connection with answered calls: from the next sweep on any will do.
+            # There was no connection with answered calls to send it on: after one interval any connection will do.
             self._send_release(call, release, any_connection=now_us - release.requested_us >= SWEEP_INTERVAL_US)
         elif not self.counts["sip_releases_heard"] or len(release.tried_connections) >= MAX_RELEASE_ATTEMPTS:
             # Callers are not obliged to confirm a release: while none ever has, repeating one is of no use.
@@ -138,7 +138,7 @@
 class CallerConnection(StreamProtocol):
     """One connection. Implements the core's Caller port for the calls that arrived on it."""
 
-    def __init__(self, front: CallerFront) -> None:
+    def __init__(self, front: SipFront) -> None:
         self.front, self.router, self.counts = front, front.router, front.counts
         self.sip_connection = sip.ServerConnection()
         self.idle_since_us = front.clock.now_us()  # since when no message was completed or sent
--- a/astertrack/net/control.py
+++ b/astertrack/net/control.py
@@ -107,7 +107,7 @@
             self.client.on_disconnected(self)
 
 
-class StatusMessage(StreamProtocol):
+class StatusConnection(StreamProtocol):
     """One connection on which one batch of reports is sent."""
 
     def __init__(self, client: ControlClient, batch: tuple[Report, ...]) -> None:
@@ -295,7 +295,7 @@
         """Pass an event of the stream to the version manager."""
         now = self.clock.now_us()
         match event:
-            case control.VersionHead(raw):
+            case control.VersionHeader(raw):
                 self.versions.receive_header(raw, now)
             case control.VersionRecords(lines):
                 self.versions.receive_lines(lines)
@@ -322,19 +322,19 @@
                 self.restart_unresponsive_timer()
         if self.versions.has_work and not self._work_scheduled:
             self._work_scheduled = True
-            self.clock.reactor.callLater(0, self._work)
+            self.clock.reactor.callLater(0, self._run_work)
 
-    def _work(self) -> None:
+    def _run_work(self) -> None:
         self._work_scheduled = False
         start_s = time.perf_counter()
         end_s, now = start_s + CHECK_BUDGET_US / 1e6, self.clock.now_us()
-        while self._do_steps(now) and time.perf_counter() < end_s:
+        while self._run_steps(now) and time.perf_counter() < end_s:
             pass
         self.execute_actions()
         self.record_turn(start_s)
         self.schedule_work()
 
-    def _do_steps(self, now_us: int) -> bool:
+    def _run_steps(self, now_us: int) -> bool:
         """Do a few steps of checking, and return whether there may be more to do now."""
         for _ in range(STEPS_PER_CLOCK_READ):
             in_force, start_s = self.versions.in_force, time.perf_counter()
@@ -376,9 +376,9 @@
         host, _, port = self.address.rpartition(":")
 
         def build_connection() -> StreamProtocol:
-            message = StatusMessage(self, batch)
-            self.clock.call_at(self.clock.now_us() + STATUS_TIMEOUT_US, message.on_timeout)
-            return message
+            connection = StatusConnection(self, batch)
+            self.clock.call_at(self.clock.now_us() + STATUS_TIMEOUT_US, connection.on_timeout)
+            return connection
 
         self.clock.reactor.connectTCP(
             host, int(port), _DialFactory(build_connection, lambda: self.on_status_response(batch, 0)),
--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -30,12 +30,12 @@
 # The connection is dropped after this time without received bytes, that is, if the probe is not answered either: a new
 # connection may work.
 UNRESPONSIVE_TIMEOUT_US = 650_000
-# The established calls at a peer are released after this time without received bytes: a call whose end was not noticed
-# has to be released within 8 s of its end.
+# The established calls at a peer are released after this time without received bytes: the platform requires that a call
+# whose end was not noticed is released towards its caller within 8 s of its end.
 PEER_LOST_TIMEOUT_US = 6_750_000
 LIVENESS_CHECK_INTERVAL_US = 100_000
-# The release of a set-up whose connection was lost is sent only within this time: the set-up may be sent again after
-# 300 ms, and a release names only the call, so a later one could release the new attempt.
+# The release of a set-up whose connection was lost is sent only within this time: on the platform a set-up may be sent
+# again after 300 ms, and a release names only the call, so a later one could release the new attempt.
 PENDING_RELEASE_TIMEOUT_US = 250_000
 
 
@@ -151,7 +151,7 @@
 
     def on_connected(self, connection: StreamProtocol) -> None:
         """Send what waits for the connection, now that it is established."""
-        if self.retired:
+        if self.retired:  # while the connection was being established
             connection.is_closed = True
             connection.abort()
             return
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -25,7 +25,8 @@
 PARTIAL_MESSAGE_TIMEOUT_US = 300_000
 MAX_LIVENESS_CHECK_DELAY_US = 100_000  # a check of the links that runs more than this after its due time is skipped
 PROBE_TIMEOUT_US = 250_000
-# By cause, as in Q.850: 34 no circuit available, 17 user busy, 47 resource unavailable, 102 recovery on timer expiry.
+# By Q.850 cause: 34 no circuit available, which the platform uses for whatever is full; 17 user busy and 47 resource
+# unavailable, for errors; 102 recovery on timer expiry, for an attempt that was never sent.
 RELEASE_CAUSE_OUTCOMES = {34: io.Outcome.TURNED_AWAY, 17: io.Outcome.NUMBER_FAULT, 47: io.Outcome.NUMBER_FAULT,
                           102: io.Outcome.NOT_SENT, TEMPORARY_FAILURE: io.Outcome.CUT, NORMAL_CLEARING: io.Outcome.OK}
 # By the note that a release may have besides its cause.
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -46,7 +46,7 @@
     ended_us: int | None = None  # None: in progress or established
 
 
-class CallFront(Factory):
+class ApiFront(Factory):
     """All connections from clients. Implements the core's Caller port for the calls that arrived on any of them."""
 
     def __init__(self, router: Router, clock: ReactorClock, classes: dict[str, int], counts: Counter[str],
@@ -176,7 +176,7 @@
 class ClientConnection(StreamProtocol):
     """The connection of one client."""
 
-    def __init__(self, front: CallFront) -> None:
+    def __init__(self, front: ApiFront) -> None:
         self.front, self.counts = front, front.counts
         self.websocket = ws.WebSocket(ws.Role.SERVER, front.path)
         self.last_received_us = front.clock.now_us()
--- a/astertrack/wire/control.py
+++ b/astertrack/wire/control.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VersionHead:
+class VersionHeader:
     """The header of a version, which begins it, as JSON."""
 
     raw: bytes
@@ -42,7 +42,7 @@
     """The version is complete."""
 
 
-Event = VersionHead | VersionRecords | VersionEnd | Malformed
+Event = VersionHeader | VersionRecords | VersionEnd | Malformed
 
 
 class VersionStreamDecoder:
@@ -63,7 +63,7 @@
             if isinstance(event, Malformed):
                 events.append(event)
             elif event.name == "version":
-                events.append(VersionHead(event.data.encode()))
+                events.append(VersionHeader(event.data.encode()))
             elif event.name == "records":
                 events.append(VersionRecords(event.data.encode().split(b"\n")))
             elif event.name == "end":
@@ -72,7 +72,7 @@
 
 
 def encode_stream_request(host: str, router: str, after: str, full: bool) -> bytes:
-    """Encode the request for the versions after one (EPOCH.NUMBER, or empty); full asks for a full version."""
+    """Encode the request for the versions after one (EPOCH.NUMBER, or empty for all); full asks for a full version."""
     return sse.encode_request(
         f"{VERSIONS_PATH}?router={quote(router, safe='')}{'&full=1' if full else ''}", host, after)
 
@@ -96,9 +96,9 @@
         query.get("router", [""])[0], message.headers.get("last-event-id", ""), query.get("full") == ["1"])
 
 
-def encode_version(head: bytes, lines: Iterator[bytes] | list[bytes] | tuple[bytes, ...], id: str) -> Iterator[bytes]:
+def encode_version(header: bytes, lines: Iterator[bytes] | list[bytes] | tuple[bytes, ...], id: str) -> Iterator[bytes]:
     """Yield the encoded events of one version; id is EPOCH.NUMBER."""
-    yield sse.encode_event("version", (head,))
+    yield sse.encode_event("version", (header,))
     batch: list[bytes] = []
     batch_bytes = 0
     for line in lines:
--- a/astertrack/wire/peer.py
+++ b/astertrack/wire/peer.py
@@ -35,7 +35,7 @@
     NUMBER = 9  # the called number
     NOTE = 15  # why a set-up was released, besides the cause
     REPORT = 19  # a load report, name:value;name:value
-    CAUSE = 29  # one byte: the cause of a release; in the result of a test, 1 if it was passed
+    CAUSE = 29  # one byte: the Q.850 cause of a release; 1 in a test that requests a load report, or that was passed
     DESCRIPTION = 31
 
 
--- a/astertrack/wire/sip.py
+++ b/astertrack/wire/sip.py
@@ -238,7 +238,7 @@
         if message.method == "OPTIONS":
             self._respond(message.headers, 200)
             return None
-        if message.method == "NOTIFY":
+        if message.method == "NOTIFY":  # the state of a trunk group; it wants no response
             return None
         call = message.headers.get("call-id", "")
         if not CALL_ID_PATTERN.fullmatch(call):
--- a/tests/drivers.py
+++ b/tests/drivers.py
@@ -11,7 +11,7 @@
 from twisted.internet.testing import StringTransport
 from twisted.python.failure import Failure
 
-from astertrack.net.callers import CallerFront
+from astertrack.net.callers import SipFront
 from astertrack.net.clock import ReactorClock
 from astertrack.wire import sip
 
@@ -47,8 +47,8 @@
 
     def __init__(self, max_connections: int = 100) -> None:
         self.reactor, self.harness, self.counts = Clock(), RouterHarness(), Counter[str]()
-        self.front = CallerFront(self.harness.router, FakeClock(self.reactor), {"ledger-read": 0}, self.counts,
-                                 max_connections)
+        self.front = SipFront(self.harness.router, FakeClock(self.reactor), {"ledger-read": 0}, self.counts,
+                              max_connections)
 
     def connect(self) -> tuple[Any, Any]:
         """Return a new connection and its transport."""
--- a/tests/test_call_front.py
+++ b/tests/test_call_front.py
@@ -11,14 +11,14 @@
 from test_websocket_codec import HANDSHAKE, frame
 from twisted.internet.task import Clock
 
-from astertrack.net.websocket import CallFront, ClientConnection
+from astertrack.net.websocket import ApiFront, ClientConnection
 from astertrack.wire import callapi as api
 
 
 def connect() -> tuple[Clock, ClientConnection, Any]:
     """Return a connection after its handshake, with its clock and its transport."""
     reactor, transport = Clock(), cast(Any, FakeTransport)()
-    front = CallFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
+    front = ApiFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
     connection = cast(Any, front.buildProtocol(None))
     connection.makeConnection(transport)
     connection.dataReceived(HANDSHAKE)
@@ -47,7 +47,7 @@
     b"", HANDSHAKE[:30], HANDSHAKE + b"\x81", HANDSHAKE + frame(0x01, b"{", masked=True)])
 def test_a_connection_with_an_incomplete_handshake_or_message_is_closed_in_time(received: bytes) -> None:
     reactor, transport = Clock(), cast(Any, FakeTransport)()
-    front = CallFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
+    front = ApiFront(RouterHarness().router, FakeClock(reactor), {"ledger-read": 0}, Counter(), "/calls")
     connection = cast(Any, front.buildProtocol(None))
     connection.makeConnection(transport)
     if received:
