--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -34,14 +34,14 @@
                        "remote_throttled": io.Cause.CRANKBACK_FULL, "throttled": io.Cause.PROCESSOR_FULL,
                        "engaged": io.Cause.LINES_BUSY}
 CONTROL_CHARACTERS = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")  # without tab, CR and LF, which occur in text
-# Short names of the values in a load report, and the names that read_load expects.
+# The names that read_load expects, by the short names of the values in a load report.
 LOAD_FIELDS = {"x0": "free", "x1": "size", "queue": "backlog", "inflight": "outstanding", "util": "utilization",
                "latency_ms": "recent_ms", "qps": "can_take", "eps": "hold_back"}
 
 
 @lru_cache(maxsize=2048)
 def parse_load_report(report: str) -> io.Load:
-    """Parse a load report, in which values have either their short names or the names of io.Load."""
+    """Parse a load report, in which values have either their short names or the names that read_load expects."""
     return read_load({LOAD_FIELDS.get(name, name): value for name, value in parse_figures(report).items()})
 
 
--- a/astertrack/net/versionserver.py
+++ b/astertrack/net/versionserver.py
@@ -1,4 +1,4 @@
-"""A control service for small installations: sends the versions of a catalogue and records the routers' reports."""
+"""A control service for small installations: sends the versions of its catalogue and records the routers' reports."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         self.service = service
         self.decoder = http.MessageDecoder(http.MessageKind.REQUEST)
         self.stream_request: control.StreamRequest | None = None
-        self.last_sent = ""  # id of the version that was sent last or, before that, that the router has; empty: none
+        self.last_sent = ""  # id of the version sent last; at first the one that the router has; empty: none
         self.queue: deque[Iterator[bytes]] = deque()
         self.is_producing = False
 
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -32,7 +32,7 @@
 # A connection whose client does not read for this long is closed: this bounds the data that waits for the client.
 WRITE_BLOCKED_TIMEOUT_US = 10_000_000
 MAX_CONNECTIONS = 256
-# After these messages a call is neither in progress nor established; after an answer, also a final message, it is.
+# With these messages a call ends. An answer is final for the set-up only: the call is established after it.
 ENDING_MESSAGES = (api.Refused, api.Failed, api.Cancelled, api.Released)
 
 
