--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -25,7 +25,8 @@
 PARTIAL_MESSAGE_TIMEOUT_US = 300_000
 MAX_LIVENESS_CHECK_DELAY_US = 100_000  # a check of the links that runs more than this after its due time is skipped
 PROBE_TIMEOUT_US = 250_000
-# By cause, as in Q.850: 34 no circuit available, 17 user busy, 47 resource unavailable, 102 recovery on timer expiry.
+# By Q.850 cause: 34 no circuit available, which the platform uses for whatever is full; 17 user busy and 47 resource
+# unavailable, for errors; 102 recovery on timer expiry, for an attempt that was never sent.
 RELEASE_CAUSE_OUTCOMES = {34: io.Outcome.TURNED_AWAY, 17: io.Outcome.NUMBER_FAULT, 47: io.Outcome.NUMBER_FAULT,
                           102: io.Outcome.NOT_SENT, TEMPORARY_FAILURE: io.Outcome.CUT, NORMAL_CLEARING: io.Outcome.OK}
 # By the note that a release may have besides its cause.
@@ -33,14 +34,14 @@
                        "remote_throttled": io.Cause.CRANKBACK_FULL, "throttled": io.Cause.PROCESSOR_FULL,
                        "engaged": io.Cause.LINES_BUSY}
 CONTROL_CHARACTERS = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")  # without tab, CR and LF, which occur in text
-# Short names of the values in a load report, and the names that read_load expects.
+# The names that read_load expects, by the short names of the values in a load report.
 LOAD_FIELDS = {"x0": "free", "x1": "size", "queue": "backlog", "inflight": "outstanding", "util": "utilization",
                "latency_ms": "recent_ms", "qps": "can_take", "eps": "hold_back"}
 
 
 @lru_cache(maxsize=2048)
 def parse_load_report(report: str) -> io.Load:
-    """Parse a load report, in which values have either their short names or the names of io.Load."""
+    """Parse a load report, in which values have either their short names or the names that read_load expects."""
     return read_load({LOAD_FIELDS.get(name, name): value for name, value in parse_figures(report).items()})
 
 
--- a/astertrack/net/websocket.py
+++ b/astertrack/net/websocket.py
@@ -32,7 +32,7 @@
 # A connection whose client does not read for this long is closed: this bounds the data that waits for the client.
 WRITE_BLOCKED_TIMEOUT_US = 10_000_000
 MAX_CONNECTIONS = 256
-# After these messages a call is neither in progress nor established; after an answer, also a final message, it is.
+# With these messages a call ends. An answer is final for the set-up only: the call is established after it.
 ENDING_MESSAGES = (api.Refused, api.Failed, api.Cancelled, api.Released)
 
 
@@ -46,7 +46,7 @@
     ended_us: int | None = None  # None: in progress or established
 
 
-class CallFront(Factory):
+class ApiFront(Factory):
     """All connections from clients. Implements the core's Caller port for the calls that arrived on any of them."""
 
     def __init__(self, router: Router, clock: ReactorClock, classes: dict[str, int], counts: Counter[str],
@@ -176,7 +176,7 @@
 class ClientConnection(StreamProtocol):
     """The connection of one client."""
 
-    def __init__(self, front: CallFront) -> None:
+    def __init__(self, front: ApiFront) -> None:
         self.front, self.counts = front, front.counts
         self.websocket = ws.WebSocket(ws.Role.SERVER, front.path)
         self.last_received_us = front.clock.now_us()
