--- a/astertrack/cli/config.py
+++ b/astertrack/cli/config.py
@@ -121,8 +121,8 @@
         values = dataclasses.asdict(config)
         values["settings"]["topology"] = config.settings.topology.value
         values["settings"]["classes"] = [
-            {name: getattr(value, "value", value) for name, value in service.items()}
-            for service in values["settings"]["classes"]]
+            {name: getattr(value, "value", value) for name, value in call_class.items()}
+            for call_class in values["settings"]["classes"]]
     elif kind == "versions":
         values = msgspec.to_builtins(versions_part.read_settings(file))
     elif kind == "plan":
@@ -162,9 +162,9 @@
         text = [f"- {line.of} {line.key_}" if isinstance(line, Drop)
                 else f"+ {json.dumps(msgspec.to_builtins(line))}" for line in lines]
     else:
-        sides = [dict(line.split(" = ", 1) for line in flatten(_read_values(path, kinds[0]))) for path in (old, new)]
-        names = sorted(name for name in {*sides[0], *sides[1]} if sides[0].get(name) != sides[1].get(name))
-        values = [{"path": name, "old": sides[0].get(name), "new": sides[1].get(name)} for name in names]
+        settings = [dict(line.split(" = ", 1) for line in flatten(_read_values(path, kinds[0]))) for path in (old, new)]
+        names = sorted(name for name in {*settings[0], *settings[1]} if settings[0].get(name) != settings[1].get(name))
+        values = [{"path": name, "old": settings[0].get(name), "new": settings[1].get(name)} for name in names]
         text = [f"{row['path']}: {row['old'] or 'not set'} -> {row['new'] or 'not set'}" for row in values]
     print_result(values, as_json, "\n".join(text) if text else "no differences")
     exit_with(EXIT_NEGATIVE if values else EXIT_OK)
@@ -185,39 +185,39 @@
 def explain(name: str | None, as_json: bool) -> None:
     """Describe a table or a field, such as `choice` or `choice.over`; without a name, list the tables."""
     if name is None:
-        rows = {table: _first_line(kind) for table, kind in TABLES.items()}
+        rows = {table: _first_line(table_type) for table, table_type in TABLES.items()}
         print_result(rows, as_json, "\n".join(f"{table:10} {text}" for table, text in rows.items()))
         return
-    table, _, wanted = name.partition(".")
+    table, _, field_name = name.partition(".")
     if table not in TABLES:
         fail(f"unknown table {table!r}; expected one of {', '.join(TABLES)}")
-    kind = TABLES[table]
+    table_type = TABLES[table]
     fields = {}
-    for field in msgspec.structs.fields(kind):
+    for field in msgspec.structs.fields(table_type):
         required = field.default is msgspec.NODEFAULT and field.default_factory is msgspec.NODEFAULT
         default = None if required else field.default if field.default is not msgspec.NODEFAULT else []
         fields[field.encode_name] = {"type": describe_type(field.type), "required": required, "default": default}
-    if wanted:
-        if wanted not in fields:
-            fail(f"table {table!r} has no field {wanted!r}; its fields are {', '.join(fields)}")
-        fields = {wanted: fields[wanted]}
-    values = {"table": table, "meaning": (kind.__doc__ or "").strip(), "fields": fields}
-    lines = [f"[{table}]  {values['meaning']}", ""] if not wanted else []
+    if field_name:
+        if field_name not in fields:
+            fail(f"table {table!r} has no field {field_name!r}; its fields are {', '.join(fields)}")
+        fields = {field_name: fields[field_name]}
+    values = {"table": table, "meaning": (table_type.__doc__ or "").strip(), "fields": fields}
+    lines = [f"[{table}]  {values['meaning']}", ""] if not field_name else []
     lines += [f"{table}.{field}: {description['type']}" + (
         "; required" if description["required"] else f"; default {json.dumps(description['default'])}")
         for field, description in fields.items()]
     print_result(values, as_json, "\n".join(lines))
 
 
-def _first_line(kind: type[Any]) -> str:
-    return (kind.__doc__ or "").strip().split("\n", maxsplit=1)[0]
+def _first_line(table_type: type[Any]) -> str:
+    return (table_type.__doc__ or "").strip().split("\n", maxsplit=1)[0]
 
 
-def describe_type(kind: Any) -> str:
-    """Describe the values that a field accepts."""
-    if hasattr(kind, "__metadata__"):
-        meta = kind.__metadata__[0]
-        parts = [describe_type(get_args(kind)[0])]
+def describe_type(field_type: Any) -> str:
+    """Describe the values that a field of this type accepts."""
+    if hasattr(field_type, "__metadata__"):
+        meta = field_type.__metadata__[0]
+        parts = [describe_type(get_args(field_type)[0])]
         for name, word in (("ge", "at least"), ("gt", "above"), ("le", "at most"), ("lt", "below"),
                            ("min_length", "minimum length"), ("max_length", "maximum length"),
                            ("pattern", "that matches")):
@@ -225,11 +225,11 @@
             if value is not None:
                 parts.append(f"{word} {value}")
         return ", ".join(parts)
-    words = {str: "text", int: "whole number", float: "number", bool: "true or false", type(None): "nothing"}
-    if kind in words:
-        return words[kind]
-    if get_origin(kind) is list:
-        return f"list of {describe_type(get_args(kind)[0])}"
-    if get_args(kind):
-        return " or ".join(describe_type(arg) for arg in get_args(kind) if arg is not type(None))
-    return str(getattr(kind, "__name__", kind))
+    words = {str: "text", int: "integer", float: "number", bool: "true or false", type(None): "nothing"}
+    if field_type in words:
+        return words[field_type]
+    if get_origin(field_type) is list:
+        return f"list of {describe_type(get_args(field_type)[0])}"
+    if get_args(field_type):
+        return " or ".join(describe_type(arg) for arg in get_args(field_type) if arg is not type(None))
+    return str(getattr(field_type, "__name__", field_type))
--- a/astertrack/cli/plan.py
+++ b/astertrack/cli/plan.py
@@ -1,4 +1,4 @@
-"""astertrack plan: compile a plan file, and look up calls in it."""
+"""astertrack plan: compile a plan file, and look up the routes of calls in it."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @click.group("plan")
 def command() -> None:
-    """Compile a plan file, and look up where a call goes."""
+    """Compile a plan file, and look up the routes of calls in it."""
 
 
 @command.command("compile")
@@ -38,10 +38,10 @@
 @report_errors
 def compile_command(file: Path, as_json: bool) -> None:
     """Compile a plan file as a router does, and print its size, digest, compile time and memory."""
-    started = time.perf_counter()
+    start_s = time.perf_counter()
     id, plan, _ = read_plan_file(file)
-    took_ms = (time.perf_counter() - started) * 1000
-    tracemalloc.start()
+    took_ms = (time.perf_counter() - start_s) * 1000
+    tracemalloc.start()  # for a second compilation: tracing slows it down, and the first one was timed
     measured_plan = read_plan_file(file)
     memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -55,13 +55,13 @@
 @command.command("lookup")
 @click.argument("file", type=FILE_PATH)
 @click.argument("number")
-@click.option("--dest", type=int, default=-1, help="The destination that the caller gives; -1: none.")
-@click.option("--class", "service", default=ANY, help="The class of the call.")
-@click.option("--zone", default=ANY, help="The zone of the router.")
+@click.option("--dest", type=int, default=-1, help="Destination exchange given by the caller; -1: none.")
+@click.option("--class", "service", default=ANY, help="Class of the call.")
+@click.option("--zone", default=ANY, help="Zone of the router.")
 @JSON_OPTION
 @report_errors
 def lookup(file: Path, number: str, dest: int, service: str, zone: str, as_json: bool) -> None:
-    """Look up where a call to NUMBER goes by the plan in FILE. Exit code 1: the call is refused."""
+    """Look up the route of a call to NUMBER in the plan file FILE. Exit code 1: the plan refuses the call."""
     if number.strip(DIGITS) or not number:
         fail(f"{number!r} is not a number: expected digits 0-9 and letters a-f")
     _, plan, _ = read_plan_file(file)
@@ -82,9 +82,9 @@
     tiers = [sorted(tier) if tier is not None else ["any"] for tier in route.tiers]
     limits = [limit.name for limit in plan.records_of("limit").values() if limit_applies(limit, query, destination)]
     values |= {"exchange": destination, "ways": tiers or [["any"]], "never": sorted(route.never), "limits": limits}
-    text = [f"{number}: exchange {destination}, by {'prefix ' + str(values['prefix']) if entry else 'its caller'}",
+    text = [f"{number}: exchange {destination}, by {'prefix ' + str(values['prefix']) if entry else 'the caller'}",
             "routes: " + (", then ".join("any" if tier == ["any"] else "direct" if tier == [destination]
-                                         else "over " + " or ".join(map(str, tier)) for tier in tiers)
+                                         else "via " + " or ".join(map(str, tier)) for tier in tiers)
                           or "direct, then any")]
     if route.never:
         text.append("excluded: " + ", ".join(map(str, sorted(route.never))))
--- a/astertrack/cli/versions.py
+++ b/astertrack/cli/versions.py
@@ -22,7 +22,7 @@
 
 @click.group("versions")
 def command() -> None:
-    """Serve versions of the routing plan, and show their state at the routers."""
+    """Publish versions of the routing plan, and show their state at the routers."""
 
 
 class PlanFolder:
@@ -126,7 +126,7 @@
     if response.status != 200:
         fail(f"{service} answered with status {response.status}")
     rows = [row for row in json.loads(body) if wanted in (None, f"{row['epoch']}.{row['number']}")]
-    lines = [f"{'version':>10} {'router':12} {'stand':12} why"]
+    lines = [f"{'version':>10} {'router':12} {'stand':12} details"]
     for row in rows:
         location = ", ".join(part for part in (f"record {row['line']}" if row.get("line") else "", row.get("path", ""))
                              if part)
--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -1,4 +1,8 @@
-"""Versioned routing plans as a part of a router: the plan policy of the gate, the control client and the store."""
+"""The part of a router that handles versions of the routing plan.
+
+It applies the plan in force as an admission policy, receives new versions from the control service or from a file,
+and stores accepted ones on disk.
+"""
 
 from __future__ import annotations
 
@@ -40,11 +44,12 @@
 from ospreylug import interface as io
 
 log = structlog.get_logger()
-NO_PLAN_WAIT_US = 2_000_000  # after which a caller may retry whose call needs a plan while there is none yet
-ZONE_OUTAGE_RATIO = 0.5  # if this share of a zone's exchanges does not answer, the zone is taken as cut off
-# After this time the store's thread yields the interpreter lock to the calls, which by default would wait 5 ms for it.
+NO_PLAN_WAIT_US = 2_000_000  # wait before a retry, given while a call needs a plan and there is none yet
+ZONE_OUTAGE_RATIO = 0.5  # a zone is marked as disturbed if at least this fraction of its exchanges is not healthy
+# After this time the store's thread yields the interpreter lock (GIL) to the reactor's thread, which handles calls.
+# With Python's default, calls would wait 5 ms for it.
 SWITCH_INTERVAL_S = 0.0005
-LINES_PER_TURN = 200  # of a plan that is written to the store as a full version
+LINES_PER_TURN = 200  # encoded per reactor turn when a plan is stored as a full version
 
 
 class _Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -64,7 +69,7 @@
 
 
 class _Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    octets: Annotated[int, msgspec.Meta(ge=1024, le=2**31)] = 32 * 2**20
+    octets: Annotated[int, msgspec.Meta(ge=1024, le=2**31)] = 32 * 2**20  # maximum size of a version in bytes
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -92,7 +97,7 @@
 
 
 def read_plan_file(path: Path) -> tuple[VersionId, Plan, int]:
-    """Read a plan file: the version, the plan, and the time in ms from which the version is in force.
+    """Read a plan file: its version, its plan, and its activation time in Unix milliseconds (0: immediately).
 
     A file without a [version] table is version 1.1. Raises ConfigError.
     """
@@ -118,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Token:
-    """The policy's token of a call, with the version in force when the call was offered, which it keeps to its end."""
+    """The policy's state of an admitted call, which keeps the version in force at its admission until it ends."""
 
     version: ActiveVersion
     admission: PlanAdmission
@@ -151,16 +156,16 @@
         return Approval(route.dest, RouteConstraint(route.tiers, route.never), label, _Token(version, verdict, dest))
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
-        """Return True: the route constraint of the approval decides."""
+        """Return True: the gate itself enforces the route constraint of the approval."""
         return True
 
     def sent(self, token: object, request: Request, entry: io.Entry, now_us: int) -> None:
-        """Do nothing: the plan does not depend on it."""
+        """Do nothing: neither limits nor outcomes depend on set-ups."""
 
     def final(self, token: object, request: Request, final: FinalResult, now_us: int) -> None:
-        """Record the outcome of the call for its version.
+        """Record the outcome of the call under its version, which may be on probation.
 
-        Not for a call that its caller cancelled, or that is only in transit: they say nothing about the version.
+        Calls that their callers cancelled and calls in transit are not recorded: they say nothing about the version.
         """
         if isinstance(token, _Token) and final is not FinalResult.CANCELLED and not request.transit:
             self._record_outcome(token.version, request, token.dest, now_us, final is not FinalResult.ANSWERED)
@@ -172,13 +177,13 @@
             version.id, CallOutcome(request.number, dest, request.service_name, zone, now_us, failed))
 
     def over(self, token: object, request: Request, now_us: int) -> None:
-        """Release what the call holds of the plan's limits."""
+        """Release the call from the limits in which it counts."""
         if isinstance(token, _Token):
             self.evaluator.release(token.admission)
 
 
 class VersionsPart:
-    """The versions subsystem of one router."""
+    """The plan policy, the control client and the store of one router."""
 
     def __init__(self, context: PartContext, path: Path) -> None:
         self.context, self.path = context, path
@@ -186,16 +191,16 @@
         config, settings = context.config, self.settings
         zones, zone_index = config.zones, config.settings.zone
         zone = zones[zone_index] if 0 <= zone_index < len(zones) else ""
-        self.source = random.Random(config.seed)
+        self.random_source = random.Random(config.seed)
         self.versions = VersionManager(
             VersionSettings(config.name, zone, int(settings.probation.seconds * 1e6), settings.limits.octets,
-                            bool(settings.store.folder)), self.source)
+                            bool(settings.store.folder)), self.random_source)
         self.files = VersionFiles(Path(settings.store.folder)) if settings.store.folder else None
         if self.files is not None:
             sys.setswitchinterval(SWITCH_INTERVAL_S)
         self.client = ControlClient(settings.service.address, config.name, self.versions, context.clock, context.counts,
-                                    self.source, self._write_to_store)
-        self.policy = PlanPolicy(self.versions, PlanEvaluator(zone, config.settings.home, self.source))
+                                    self.random_source, self._write_to_store)
+        self.policy = PlanPolicy(self.versions, PlanEvaluator(zone, config.settings.home, self.random_source))
         self.router: Router | None = None
         self._write_queue: Deferred[Any] = succeed(None)
         self._stopped = False
@@ -205,7 +210,7 @@
         return (self.policy,)
 
     def start(self, router: Router) -> None:
-        """Restore the last good version, offer the plan file's, then follow the service."""
+        """Restore the last good version from the store, offer that of the plan file, and connect to the service."""
         self.router = router
         if self.files is not None:
             stored_version, errors = self.files.load()
@@ -236,7 +241,10 @@
         self.client.execute_actions()
 
     def reload(self) -> None:
-        """Follow the service and read the plan file that the settings name now; invalid files change nothing."""
+        """Read the settings again, and switch to the service and the plan file that they name now.
+
+        Changes of the other settings need a restart. Invalid files change nothing.
+        """
         try:
             settings = read_settings(self.path)
             version = read_plan_file(self.path.parent / settings.plan.file) if settings.plan.file else None
@@ -250,7 +258,7 @@
             self._offer(*version)
 
     def stop(self) -> None:
-        """Stop reading versions; current calls keep theirs."""
+        """Receive no further versions. Current calls keep the versions under which they were admitted."""
         self._stopped = True
         self.client.stop()
 
@@ -268,7 +276,7 @@
     # ---- zones
 
     def _check_zones(self) -> None:
-        """Detect zones that do not answer, so that no version is blamed for failures in them alone."""
+        """Mark zones with unhealthy exchanges as disturbed, so that no version is blamed for failures in them alone."""
         if self._stopped:
             return
         if self.versions.probation is not None and self.router is not None:
@@ -313,7 +321,10 @@
         log.warning("version not stored", step=step, error=str(failure.value))
 
     def _write_full_version(self, id: VersionId, plan: Plan) -> None:
-        """Write a plan that depends on many deltas as one full version, LINES_PER_TURN lines per reactor turn."""
+        """Store a plan that was built from many deltas as one full version.
+
+        It is encoded LINES_PER_TURN lines per reactor turn, so that calls are handled in between.
+        """
         chunks: list[bytes] = []
         totals = [0, 0]  # records, bytes
 
