--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -182,9 +182,9 @@
         source = random.Random(5)
 
         def verdict(request: Request) -> Approval | Refusal | None:
-            share = source.random()
-            if share < 0.2:
-                return None if share < 0.1 else Refusal("random", 1_000)
+            draw = source.random()
+            if draw < 0.2:
+                return None if draw < 0.1 else Refusal("random", 1_000)
             tiers = tuple(source.choice([None, frozenset(source.sample(range(4), 2))])
                           for _ in range(source.randrange(3)))
             self.constraints.setdefault(request.call_id, []).append(
@@ -255,7 +255,7 @@
 def test_a_call_waiting_for_its_retry_keeps_its_version_though_the_new_one_lacks_the_exchange() -> None:
     harness, versions, policy = harness_with_plan(plan(Choice(1, over=[[2]], any_tandem=False)))
     harness.offer("a", dest=1)
-    harness.peer_ends("a", io.Outcome.CUT)  # its set-up was cut: it waits 300 ms for the release
+    harness.peer_ends("a", io.Outcome.CUT)  # the set-up was possibly executed: the next one waits 300 ms
     versions.restore(VersionId(1, 2), build(iter([Exchange(0), Exchange(3)])), harness.now)
     harness.pass_time(SECOND)
     assert harness.set_ups == [("x1", "a"), ("x1", "a")]
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -36,14 +36,14 @@
         self.timer_sequence = itertools.count()
         self.timers: list[tuple[int, int, FakeTimer]] = []
         self.set_ups: list[tuple[str, str]] = []  # (peer, call)
-        self.peer_by_call: dict[str, str] = {}  # call: the peer of its pending set-up or established call
+        self.peer_by_call: dict[str, str] = {}  # peers of pending set-ups and established calls, by call
         self.peer_releases: list[tuple[str, str, int]] = []
         self.finals: Counter[str] = Counter()
         self.answers: dict[str, str] = {}
         self.waits: dict[str, int] = {}
         self.caller_releases: Counter[str] = Counter()
         self.records: list[CallRecord] = []
-        self.release_pending_since_us: dict[str, int] = {}  # call: when an attempt ended whose release is still due
+        self.release_pending_since_us: dict[str, int] = {}  # by call: end of an attempt that has to be released first
         self.violations: list[str] = []
         router_settings = settings(callers_wait=True, max_caller_wait_us=2 * SECOND, release_us=300_000)
         counts: Counter[str] = Counter()
@@ -197,12 +197,16 @@
 
 
 def test_circuits_of_set_ups_in_transit_are_not_counted_as_free() -> None:
-    """A freed circuit is reported a round trip late: every call queued for it was sent, and found no circuit."""
+    """Guards against sending every queued call for one free circuit.
+
+    Reports are a round trip late: those that do not yet include the first set-up would release further calls, which
+    find no circuit.
+    """
     harness = RouterHarness()
     harness.offer("first")
     harness.pass_time(40_000)
     harness.peer_ends("first", io.Outcome.NUMBER_FAULT)  # makes the measured round trip 40 ms
-    for peer in ("x1", "x2", "x3"):  # no alternative route either
+    for peer in ("x1", "x2", "x3"):  # no circuit is free on the direct route or through a tandem
         harness.router.on_group_state(peer, io.Load(free=0.0, size=20.0))
     for name in "abc":
         harness.offer(name)
@@ -297,7 +301,7 @@
     def change_readiness(self, readiness: io.Readiness) -> None:
         before = {c for c, peer in self.harness.peer_by_call.items() if peer == "x3"}
         self.harness.set_last_peer_readiness(readiness)
-        if readiness is io.Readiness.GONE:  # its calls have ended there, too
+        if readiness is io.Readiness.GONE:  # established calls at this peer have been cut: they are no longer there
             for name in before & set(self.harness.answers):
                 self.harness.peer_by_call.pop(name, None)
 
