--- a/astertrack/cli/__init__.py
+++ b/astertrack/cli/__init__.py
@@ -10,7 +10,7 @@
           "versions": "astertrack.cli.versions"}
 
 
-class Commands(click.Group):
+class LazyGroup(click.Group):
     """Imports the module of a group on first use, so that no command waits for modules that it does not need."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -25,7 +25,7 @@
         return command
 
 
-@click.command(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
+@click.command(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="astertrack")
 def main() -> None:
     """astertrack: a call router that places calls between exchanges at two sites.
--- a/astertrack/cli/config.py
+++ b/astertrack/cli/config.py
@@ -21,7 +21,7 @@
     print_result,
     report_errors,
 )
-from astertrack.cli.run import load
+from astertrack.cli.run import load_config
 from astertrack.config import ConfigError, read_gateway
 from astertrack.parts import versions as versions_part
 from astertrack.plan import Drop, Plan
@@ -58,7 +58,7 @@
 def check_file(path: Path, kind: str) -> dict[str, Any]:
     """Validate one file and return a summary of its contents. Raises ConfigError."""
     if kind == "router":
-        config = load(path)
+        config = load_config(path)
         return {"name": config.name, "listen": f"{config.host}:{config.port}", "classes": list(config.classes),
                 "peers": sum(len(item["roster"]["endpoints"]) for item in config.known), "bulletin": config.bulletin}
     if kind == "versions":
@@ -83,7 +83,7 @@
 
 @command.command("check")
 @click.argument("files", nargs=-1, required=True, type=FILE_PATH)
-@click.option("--kind", type=click.Choice(FILE_KINDS), help="The kind of the files; default: detected by tables.")
+@click.option("--kind", type=click.Choice(FILE_KINDS), help="Kind of the files; default: detected by their tables.")
 @JSON_OPTION
 @report_errors
 def check_command(files: tuple[Path, ...], kind: str | None, as_json: bool) -> None:
@@ -117,7 +117,7 @@
     kind = detect_kind(file)
     values: Any
     if kind == "router":
-        config = load(file)
+        config = load_config(file)
         values = dataclasses.asdict(config)
         values["settings"]["topology"] = config.settings.topology.value
         values["settings"]["classes"] = [
@@ -176,7 +176,7 @@
         return msgspec.to_builtins(versions_part.read_settings(path))
     if kind == "gateway":
         return dataclasses.asdict(read_gateway(path, []))
-    return dataclasses.asdict(load(path))
+    return dataclasses.asdict(load_config(path))
 
 
 @command.command("explain")
--- a/astertrack/cli/run.py
+++ b/astertrack/cli/run.py
@@ -38,13 +38,17 @@
                             ("ASTERTRACK_GATEWAY", gateway), ("ASTERTRACK_VERSIONS", versions)):
         if value is not None:  # SIGHUP reads the configuration from the same variables again
             os.environ[variable] = str(value)
-    config = load(path)
+    config = load_config(path)
     logs.configure(log_format or config.gateway.log_format, log_level or config.gateway.log_level)
     exit_with(serve(config, cast(Any, reactor)))
 
 
-def load(path: Path) -> Any:
-    """Read a router's configuration, TOML or JSON. Raises ConfigError."""
+def load_config(path: Path) -> Any:
+    """Read a router's configuration from a router file (.toml) or the platform's JSON. Raises ConfigError.
+
+    The environment variables RELAY_LISTEN and RELAY_NAME take precedence over the file, and ASTERTRACK_GATEWAY names
+    the gateway file.
+    """
     from dataclasses import replace  # noqa: PLC0415
 
     from astertrack.config import DEFAULT_GATEWAY_FILE, read_config, split_address  # noqa: PLC0415
--- a/astertrack/config.py
+++ b/astertrack/config.py
@@ -115,7 +115,8 @@
         raise ConfigError(f"{path.name}: {error!r}") from None
 
 
-def _read_file(environ: Mapping[str, str]) -> tuple[str, dict[str, Any]]:
+def _read_platform_file(environ: Mapping[str, str]) -> tuple[str, dict[str, Any]]:
+    """Read the JSON file that RELAY_CONFIG names: return its path and its object. Raises ConfigError."""
     path = environ.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
@@ -146,7 +147,7 @@
         from astertrack.routerfile import read_router_file  # noqa: PLC0415  # not used on the platform
 
         return read_router_file(Path(environ["RELAY_CONFIG"])).router.bulletin
-    _, raw = _read_file(environ)
+    _, raw = _read_platform_file(environ)
     address = raw.get("bulletin")
     _, port = split_address(address, "bulletin")
     if not port:
@@ -156,7 +157,7 @@
 
 def read_config(environ: Mapping[str, str] = os.environ) -> Config:
     """Read the configuration that RELAY_CONFIG names. Raises ConfigError."""
-    path, raw = _read_file(environ)
+    path, raw = _read_platform_file(environ)
     if not isinstance(raw.get("settings"), dict):
         raise ConfigError(f"RELAY_CONFIG: {path} has no object 'settings'")
     raw_settings = raw["settings"]
--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -1,6 +1,6 @@
 """The router: holds calls and attempts, passes events to the decision module and carries out its actions.
 
-The router guarantees five rules, whatever the module asks for: each call gets one final answer before its deadline;
+The router enforces five rules, whatever the module asks for: each call gets one final answer before its deadline;
 attempts never overlap; a new attempt waits for the release of one that was possibly executed; no set-up goes to a
 peer that is draining or gone; no call gets more attempts than the settings allow.
 """
@@ -45,7 +45,7 @@
 class Attempt:
     """A pending set-up, or the established call that resulted from it."""
 
-    number: int
+    number: int  # from 0
     peer: str
     sent_us: int
     timer: Timer | None = None
@@ -298,9 +298,9 @@
             case io.Fail(call_id):
                 if (call := self._find_unanswered(call_id)) is not None:
                     self._reject(call, FinalResult.FAILED)
-            case io.CallOff(call_id, number):
+            case io.CallOff(call_id, attempt_number):
                 call = self._find_unanswered(call_id)
-                if call is not None and call.attempt is not None and call.attempt.number == number:
+                if call is not None and call.attempt is not None and call.attempt.number == attempt_number:
                     self._cancel_attempt(call, io.Outcome.CALLED_OFF, settled=False)
             case io.SetTimer(token, at_us):
                 self.clock.call_at(at_us, lambda: self._dispatch(io.TimerDue(token)))
@@ -317,21 +317,21 @@
         call = self._find_unanswered(call_id)
         if call is None:
             return
-        number, now = call.attempts, self.now_us()
+        attempt_number, now = call.attempts, self.now_us()
         call.attempts += 1
         deadline_us = min(deadline_us, call.answer_by_us)
         entry = self.roster.get(peer)
         free = self.free_circuits.get(peer)
         no_circuit = free is not None and free < call.request.width
-        if (call.attempt is not None or number >= self.settings.max_attempts or now < call.next_attempt_us
-                or entry is None or entry.readiness is not io.Readiness.READY or deadline_us <= now
-                or no_circuit
+        if (call.attempt is not None or attempt_number >= self.settings.max_attempts
+                or now < call.next_attempt_us or entry is None or entry.readiness is not io.Readiness.READY
+                or deadline_us <= now or no_circuit
                 or (call.admission is not None and not call.admission.permits(call.request, entry, now))):
             self.counts["attempts_moot_here"] += 1
             cause = io.Cause.NO_CIRCUIT if no_circuit else io.Cause.NONE
-            self._dispatch(io.AttemptEnded(call_id, number, peer, io.Outcome.NOT_SENT, 0, False, cause))
+            self._dispatch(io.AttemptEnded(call_id, attempt_number, peer, io.Outcome.NOT_SENT, 0, False, cause))
             return
-        call.attempt = attempt = Attempt(number, peer, now)
+        call.attempt = attempt = Attempt(attempt_number, peer, now)
         self.calls_by_peer.setdefault(peer, {})[call_id] = call
         self.counts["attempts_sent"] += 1
         if call.admission is not None:
--- a/astertrack/parts/model.py
+++ b/astertrack/parts/model.py
@@ -37,7 +37,7 @@
         """Read the settings again; invalid ones change nothing."""
 
     def stop(self) -> None:
-        """Start no further work."""
+        """Stop the part: it starts no further work."""
 
     def update_counters(self) -> None:
         """Update the counters that are computed on request."""
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -191,11 +191,11 @@
 
 
 def test_the_defaults_of_a_router_file_are_the_platforms_rules() -> None:
-    from astertrack.cli.run import load  # noqa: PLC0415
+    from astertrack.cli.run import load_config  # noqa: PLC0415
 
-    config = load(DEPLOY / "example.toml")
+    config = load_config(DEPLOY / "example.toml")
     assert config.settings.release_us == 300_000
     assert config.settings.max_attempts == 6
     assert [service.worth for service in config.settings.classes] == [1.0, 8.0]
     with pytest.raises(ConfigError, match="nowhere"):
-        load(Path("/nowhere.toml"))
+        load_config(Path("/nowhere.toml"))
