--- a/astertrack/app.py
+++ b/astertrack/app.py
@@ -137,7 +137,7 @@
     def stop(self) -> None:
         """Finish accepted calls, and accept late arrivals for a while, as the platform's planned restarts require.
 
-        Further calls of this method have no effect.
+        Further calls of this method do nothing.
         """
         if self.stop_requested_us is not None:
             return
--- a/astertrack/cli/run.py
+++ b/astertrack/cli/run.py
@@ -44,7 +44,7 @@
 
 
 def load_config(path: Path) -> Any:
-    """Read a router's configuration from a router file (.toml) or the platform's JSON. Raises ConfigError.
+    """Read a router's Config from a router file (.toml) or the platform's JSON. Raises ConfigError.
 
     The environment variables RELAY_LISTEN and RELAY_NAME take precedence over the file, and ASTERTRACK_GATEWAY names
     the gateway file.
--- a/astertrack/cli/versions.py
+++ b/astertrack/cli/versions.py
@@ -26,12 +26,15 @@
 
 
 class PlanFolder:
-    """A folder of plan files, each with a [version] table, that publishes versions higher than the latest."""
+    """A folder of plan files, each with a [version] table, that publishes versions higher than the latest.
+
+    `publish` is called with the VersionId, the Plan and the activation time in Unix milliseconds (0: immediately).
+    """
 
     def __init__(self, folder: Path, publish: Callable[[Any, Any, int], None]) -> None:
         self.folder, self.publish = folder, publish
         self._seen: dict[Path, tuple[int, int]] = {}  # size and modification time of each file as last read
-        self.latest: Any = None
+        self.latest: Any = None  # VersionId of the latest published version
 
     def scan(self) -> list[str]:
         """Read new and changed files and publish their versions. Return the errors found, each of them only once."""
--- a/astertrack/core/gate.py
+++ b/astertrack/core/gate.py
@@ -52,9 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Approval:
-    """A policy's consent to a call, whose destination `dest` replaces unless it is None.
+    """A policy's consent to a call.
 
-    `token` is the policy's own state of the call; it is passed to the policy's other methods.
+    `dest`, unless None, replaces the call's destination. `token` is the policy's own state of the call; it is passed to
+    the policy's other methods.
     """
 
     dest: int | None = None
@@ -75,7 +76,7 @@
 class Policy(Protocol):
     """An admission policy. It decides from its arguments and notifications only: no I/O, no clock but now_us.
 
-    `token` is the token of its Approval of the call.
+    `token` is the one that the policy returned with its Approval of the call.
     """
 
     name: str
@@ -96,7 +97,7 @@
         """Called once with the final result of the call, also if its caller cancelled it."""
 
     def over(self, token: object, request: Request, now_us: int) -> None:
-        """Called once when the call has ended and none of its state is left."""
+        """Called once when the call has ended, always after final()."""
 
 
 class Admission:
--- a/astertrack/core/model.py
+++ b/astertrack/core/model.py
@@ -70,8 +70,8 @@
 class Caller(Protocol):
     """The side that offered a call.
 
-    For each call it receives exactly one of on_answered, on_refused and on_failed, or none if it cancels the call
-    before.
+    For each call it receives exactly one of on_answered, on_refused and on_failed, or none if it
+    has cancelled the call before.
     """
 
     def on_answered(self, call_id: str, description: bytes) -> None:
