--- a/astertrack/cli/versions.py
+++ b/astertrack/cli/versions.py
@@ -22,16 +22,19 @@
 
 @click.group("versions")
 def command() -> None:
-    """Serve versions of the routing plan, and show their state at the routers."""
+    """Publish versions of the routing plan, and show their state at the routers."""
 
 
 class PlanFolder:
-    """A folder of plan files, each with a [version] table, that publishes versions higher than the latest."""
+    """A folder of plan files, each with a [version] table, that publishes versions higher than the latest.
+
+    `publish` is called with the VersionId, the Plan and the activation time in Unix milliseconds (0: immediately).
+    """
 
     def __init__(self, folder: Path, publish: Callable[[Any, Any, int], None]) -> None:
         self.folder, self.publish = folder, publish
         self._seen: dict[Path, tuple[int, int]] = {}  # size and modification time of each file as last read
-        self.latest: Any = None
+        self.latest: Any = None  # VersionId of the latest published version
 
     def scan(self) -> list[str]:
         """Read new and changed files and publish their versions. Return the errors found, each of them only once."""
@@ -126,7 +129,7 @@
     if response.status != 200:
         fail(f"{service} answered with status {response.status}")
     rows = [row for row in json.loads(body) if wanted in (None, f"{row['epoch']}.{row['number']}")]
-    lines = [f"{'version':>10} {'router':12} {'stand':12} why"]
+    lines = [f"{'version':>10} {'router':12} {'stand':12} details"]
     for row in rows:
         location = ", ".join(part for part in (f"record {row['line']}" if row.get("line") else "", row.get("path", ""))
                              if part)
