--- a/astertrack/gossip/membership.py
+++ b/astertrack/gossip/membership.py
@@ -553,7 +553,7 @@
             reason = "probe not answered" if confirmed_locally else f"suspected by {claim.accuser}"
             self._update_member(member, member.claim, State.SUSPECT, now_us, reason)
         suspicion.confirmed_locally = suspicion.confirmed_locally or confirmed_locally
-        # Kept are the first accuser and as many others as there are required confirmations.
+        # Only the first accuser and as many others as the required confirmations are kept.
         if claim.accuser not in suspicion.accusers and len(suspicion.accusers) <= self.settings.required_confirmations:
             suspicion.accusers[claim.accuser] = claim
             self._disseminate(claim)
--- a/astertrack/plan/policy.py
+++ b/astertrack/plan/policy.py
@@ -92,7 +92,10 @@
 
 
 class PlanEvaluator:
-    """Applies plans to calls, and counts the calls of each limit across versions."""
+    """Applies plans to calls, and counts the calls of each limit across versions.
+
+    `zone` and `home` are the zone and the exchange of this router; no method reads `home`.
+    """
 
     def __init__(self, zone: str, home: int, random_source: random.Random) -> None:
         self.zone, self.home, self._random = zone, home, random_source
--- a/astertrack/store/records.py
+++ b/astertrack/store/records.py
@@ -18,6 +18,8 @@
 RETRY_INTERVAL_S = 1.0  # wait before a failed batch is written again
 MAX_WRITE_ATTEMPTS = 5  # per batch; then it is dropped, and counted
 
+# Columns are fields of CallRecord. Those in *_us are microseconds of the Unix clock, and taken_us is when the call was
+# accepted.
 CREATE_TABLE = """CREATE TABLE IF NOT EXISTS call_records (
     call TEXT NOT NULL, at_us BIGINT NOT NULL, event TEXT NOT NULL, service TEXT NOT NULL,
     number TEXT NOT NULL, dest INTEGER NOT NULL, transit INTEGER NOT NULL, attempts INTEGER NOT NULL,
@@ -58,7 +60,7 @@
 
 
 class SqlStore:
-    """A store in SQLite or PostgreSQL, through a pool with one connection."""
+    """A store in SQLite or PostgreSQL, through a pool with one connection, which one batch uses at a time."""
 
     def __init__(self, reactor: Any, pool: Any, placeholder: str, counts: Counter[str]) -> None:
         self.reactor, self.pool, self.counts = reactor, pool, counts
--- a/astertrack/store/versions.py
+++ b/astertrack/store/versions.py
@@ -63,7 +63,8 @@
 class VersionFiles:
     """The directory of stored versions of one router.
 
-    `step` is called before each step of a write, between which a crash can occur; tests simulate crashes there.
+    `step` is called with a name before each step of a write, between which a crash can occur; tests simulate crashes
+    there.
     """
 
     def __init__(self, folder: Path, step: Callable[[str], None] = lambda name: None) -> None:
@@ -106,7 +107,10 @@
         return True
 
     def is_chain_too_long(self, id: VersionId) -> bool:
-        """Return whether a version is built from so many deltas that it should be written as a full version."""
+        """Return whether a version is built from so many deltas that it should be written as a full version.
+
+        That is the case from MAX_CHAIN_DELTAS deltas on.
+        """
         return len(self._chains.get(id, ())) > MAX_CHAIN_DELTAS
 
     def set_current(self, id: VersionId) -> bool:
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -23,6 +23,7 @@
 # ---- data structures
 
 
+# p: put an update about a subject, t: take as many updates as the number says.
 @given(st.lists(st.tuples(st.sampled_from("pt"), SUBJECTS, st.integers(1, 5)), max_size=60), st.integers(1, 4))
 def test_updates_are_sent_least_transmitted_first_and_only_the_latest_per_subject(
         operations: Any, max_transmissions: int) -> None:
--- a/tests/test_gossip_codec.py
+++ b/tests/test_gossip_codec.py
@@ -163,7 +163,7 @@
     assert reasons.count("no time") == 500
     assert pair.open(pair.a.seal(Nack(1)), is_known_sender=True) == ""
     flood = [pair.open(pair.a.seal(Nack(seq))) for seq in range(MAX_VERIFICATIONS_PER_MEMBER + 20)]
-    assert flood.count("no time") == 21
+    assert flood.count("no time") == 21  # 20 over the limit, and one for the message that was opened before
     other = Codec("c", KEYS["c"], pair.ring, lambda: pair.now_us)
     assert pair.open(other.seal(Nack(1))) == ""
     pair.now_us += SECOND
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -39,6 +39,7 @@
 from astertrack.plan.trie import BURST_THRESHOLD, PrefixTrie
 
 DIGITS = st.text("0123", min_size=1, max_size=6)
+# p: put, three times as often as r: remove and v: freeze a version and edit it further.
 EDIT_STEPS = st.lists(st.tuples(st.sampled_from("ppprv"), DIGITS, st.integers(0, 3)), max_size=400)
 EXCHANGES = [Exchange(n, "fes" if n % 2 else "casablanca") for n in range(6)]
 
@@ -92,7 +93,7 @@
     first = data.draw(st.integers(0, 10**length - 1))
     last = data.draw(st.integers(first, 10**length - 1))
     prefixes = covering_prefixes(f"{first:0{length}}", f"{last:0{length}}")
-    assert len(prefixes) <= 18 * length
+    assert len(prefixes) <= 18 * length  # as MAX_RANGE_PREFIXES assumes
     covered = [number for prefix in prefixes for number in range(int(prefix.ljust(length, "0")),
                                                                  int(prefix.ljust(length, "9")) + 1)]
     assert sorted(covered) == list(range(first, last + 1))
@@ -314,5 +315,5 @@
         builder.apply(record)
     for n in range(500):
         builder.apply(Alias(f"1{n:03}", f"2{n:03}"))
-    assert sum(1 for _ in builder.validate()) >= 1000
+    assert sum(1 for _ in builder.validate()) >= 1000  # two steps per alias
     assert builder.finish().size == 506
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -114,7 +114,7 @@
 def test_unresponsive_or_unreachable_store_affects_no_call(unresponsive: bool) -> None:
     async def body() -> None:
         node, server = await BinaryNode().start(), await PostgresStandIn(unresponsive=True).start()
-        port = server.port if unresponsive else 1
+        port = server.port if unresponsive else 1  # nothing listens on port 1
         async with program({1: node}, gateway=gateway_settings(port)) as router:
             await place_calls(router.port)
             counts = await router.counts()
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -295,6 +295,7 @@
     for index in range(data.draw(st.integers(1, 12))):
         number = data.draw(st.integers(1, 5))
         base = data.draw(st.sampled_from([None, *range(1, 6)]))
+        # In force at once, or in 2 s.
         in_force_ms = data.draw(st.sampled_from([0, 0, 1, 3])) and harness.now // 1000 + 2_000
         document = make_version(number, plans[number], 1, in_force_ms, plans[base] if base else None, base or 0)
         report_count = len(harness.reports())
@@ -519,7 +520,7 @@
 
 
 def load_version(files: VersionFiles) -> str:
-    """Load the version that a restart finds, and check that its plan is complete."""
+    """Load the version that a restart finds, and check its plan: version n routes prefix 5 to exchange n % 3 + 1."""
     stored, _ = VersionFiles(files.folder).load()
     if stored is None:
         return ""
