--- a/astertrack/gossip/membership.py
+++ b/astertrack/gossip/membership.py
@@ -387,7 +387,7 @@
                     self._probe.received_nacks += 1
             case Sync():
                 self._apply_claims(message.claims, now_us)
-                if message.wants_reply:
+                if message.wants_reply:  # counts as a sync; only handle_stream_message() replies
                     self._last_sync_us = now_us
 
     def _reply_claims(self, sender: str) -> list[Claim]:
--- a/astertrack/gossip/model.py
+++ b/astertrack/gossip/model.py
@@ -195,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipSettings:
-    """The parameters of the protocol. The defaults are meant for latencies of a few milliseconds between sites.
+    """The parameters of the protocol. The defaults are meant for sites a few milliseconds apart.
 
     SWIM: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol"
     (DSN 2002). Lifeguard: Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
@@ -203,10 +203,10 @@
     """
 
     probe_interval_us: int = 1_000_000  # one member is probed per interval: SWIM's protocol period T'
-    # Timeout of a direct probe, after which helpers are asked: covers several round trips of up to 60 ms and a slow
+    # Timeout of a direct probe, after which helpers are asked: also covers several round trips of 60 ms and a slow
     # reactor turn.
     probe_timeout_us: int = 300_000
-    # Helpers per probe, SWIM's k. If each helper fails with probability 1/3, all three fail in 1 of 27 probes.
+    # Helpers per probe, SWIM's k. If a helper's whole probe is lost with probability 1/3, 1 in 27 probes gets no help.
     indirect_probes: int = 3
     # The minimum suspicion timeout is this many probe intervals times log10 of the number of members (Lifeguard uses
     # alpha = 5).
--- a/astertrack/versions/reports.py
+++ b/astertrack/versions/reports.py
@@ -10,7 +10,7 @@
 MAX_PENDING_REPORTS = 4_096  # beyond it the oldest reports of FIRST_DROPPED_STATES are dropped first, and counted
 MAX_BATCH_REPORTS = 256  # per message
 MIN_BACKOFF_US, MAX_BACKOFF_US = 200_000, 10_000_000  # exponential backoff between attempts, doubling
-# States whose reports are dropped first when the queue is full.
+# States whose reports are dropped first when the queue is full: they no longer matter once a later version is in force.
 FIRST_DROPPED_STATES = {VersionState.ACCEPTED.value, VersionState.SUPERSEDED.value, VersionState.SETTLED.value}
 
 
--- a/laboratory/gossip_world.py
+++ b/laboratory/gossip_world.py
@@ -188,7 +188,10 @@
         self._schedule_early_timer(receiver)
 
     def _schedule_early_timer(self, instance: Instance) -> None:
-        """Run the next timer early if a received message has set it before the scheduled one."""
+        """Run the next timer early if a received message has set it before the scheduled one.
+
+        Only timers that are due within 50 ms are run early.
+        """
         due_us = instance.membership.next_timer_us() - instance.skew_us
 
         def run_timer() -> None:
