--- a/astertrack/gossip/membership.py
+++ b/astertrack/gossip/membership.py
@@ -387,7 +387,7 @@
                     self._probe.received_nacks += 1
             case Sync():
                 self._apply_claims(message.claims, now_us)
-                if message.wants_reply:
+                if message.wants_reply:  # counts as a sync; only handle_stream_message() replies
                     self._last_sync_us = now_us
 
     def _reply_claims(self, sender: str) -> list[Claim]:
@@ -553,7 +553,7 @@
             reason = "probe not answered" if confirmed_locally else f"suspected by {claim.accuser}"
             self._update_member(member, member.claim, State.SUSPECT, now_us, reason)
         suspicion.confirmed_locally = suspicion.confirmed_locally or confirmed_locally
-        # Kept are the first accuser and as many others as there are required confirmations.
+        # Only the first accuser and as many others as the required confirmations are kept.
         if claim.accuser not in suspicion.accusers and len(suspicion.accusers) <= self.settings.required_confirmations:
             suspicion.accusers[claim.accuser] = claim
             self._disseminate(claim)
