--- a/astertrack/cli/config.py
+++ b/astertrack/cli/config.py
@@ -219,13 +219,13 @@
         meta = field_type.__metadata__[0]
         parts = [describe_type(get_args(field_type)[0])]
         for name, word in (("ge", "at least"), ("gt", "above"), ("le", "at most"), ("lt", "below"),
-                           ("min_length", "minimum length"), ("max_length", "maximum length"),
+                           ("min_length", "no shorter than"), ("max_length", "no longer than"),
                            ("pattern", "that matches")):
             value = getattr(meta, name, None)
             if value is not None:
                 parts.append(f"{word} {value}")
         return ", ".join(parts)
-    words = {str: "text", int: "integer", float: "number", bool: "true or false", type(None): "nothing"}
+    words = {str: "text", int: "whole number", float: "number", bool: "true or false", type(None): "nothing"}
     if field_type in words:
         return words[field_type]
     if get_origin(field_type) is list:
