--- a/benchmarks/config_versions.py
+++ b/benchmarks/config_versions.py
@@ -120,7 +120,7 @@
     async def send_schema_violation(self) -> None:
         """Send a version with a line that is not a valid record."""
         line = self.rng.choice([b"{", b'{"kind":"prefix","digits":"5x","exchange":1}', b"[]",
-                                   b'{"kind":"whim"}', b'{"kind":"prefix","digits":"5","exchange":1,"more":0}'])
+                                b'{"kind":"whim"}', b'{"kind":"prefix","digits":"5","exchange":1,"more":0}'])
         self.send(make_unchecked_document(self.next_id().number, [b'{"kind":"exchange","number":1}', line], self.epoch),
                   {"schema"})
 
--- a/benchmarks/narrowing.py
+++ b/benchmarks/narrowing.py
@@ -183,7 +183,7 @@
 
 
 def main() -> None:
-    """Print the results of both ways at three call rates; run n of each uses the same seed."""
+    """Print the results of both ways at three call rates, paired by seed: run n of each uses the same one."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n", maxsplit=1)[0])
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--runs", type=int, default=5)
--- a/laboratory/stand_ins.py
+++ b/laboratory/stand_ins.py
@@ -27,6 +27,7 @@
 GROUP_CIRCUITS = 100  # in the trunk group of a stand-in exchange
 MAX_WAIT_S = 20.0  # for any wait in this package's helpers
 
+# The settings in the router's configuration file.
 SETTINGS = {
     "areas": ["casablanca", "fes"], "kinds": ["small-node"], "fleetSize": 4, "myNumber": 0, "zone": 0,
     "extra": {"topology": "mesh", "homeOffice": 0, "releaseUs": 300000, "classHoldUs": [10000000, 8000000]},
@@ -355,7 +356,8 @@
 
     def messages_about(self, call: str, *types: str) -> list[dict[str, Any]]:
         """Return the received messages of these types about a call."""
-        return [m for m in self.received_messages if m.get("id") == call and m["type"] in types]
+        return [message for message in self.received_messages
+                if message.get("id") == call and message["type"] in types]
 
     def final_answers(self, call: str) -> list[dict[str, Any]]:
         """Return the final answers received for a call."""
