--- a/benchmarks/config_versions.py
+++ b/benchmarks/config_versions.py
@@ -34,7 +34,7 @@
 STEP_INTERVAL_S = (0.03, 0.35)  # minimum and maximum between two steps of the script
 MAX_WAIT_S = 12.0  # for the last answers and reports, and for the router to reconnect
 MAX_BACKOFF_S = 16.0  # maximum time that a router backs off before it connects
-SETTLE_INTERVAL_S = 0.25  # after a step that breaks the stream, before the next one
+SETTLE_INTERVAL_S = 0.25  # after a step that makes the router or the service close the stream
 ExpectedOutcomes = set[str]  # permitted reasons of a refusal; "" stands for acceptance
 
 
@@ -99,7 +99,7 @@
         self.sent_count += 1
 
     async def wait_for_router(self) -> None:
-        """Wait until the router is connected, as it may be backing off."""
+        """Wait until the router is connected, as it may be backing off; give up after MAX_BACKOFF_S."""
         deadline_s = time.monotonic() + MAX_BACKOFF_S
         while not self.service.open_streams and time.monotonic() < deadline_s:
             await asyncio.sleep(0.01)
@@ -245,6 +245,7 @@
         interval_s = (end_s - time.monotonic()) / (len(rare_steps) + 1)
         rare_times_s = [time.monotonic() + interval_s * (index + 0.5) for index in range(len(rare_steps))]
         while time.monotonic() < end_s or rare_steps:
+            # Rare steps are removed from the front, so the time of the next one is counted from the end of its list.
             await self.wait_for_router()
             step = (rare_steps.pop(0) if rare_steps and time.monotonic() >= rare_times_s[-len(rare_steps)]
                     else self.rng.choice(frequent_steps))
@@ -264,6 +265,7 @@
     for received in service.received_reports:
         report = received.report
         if report.stand == "in-force":
+            # The sequence number orders changes of the same microsecond.
             changes.append((report.at_us, report.seq, f"{report.epoch}.{report.number}"))
         elif report.stand == "rolled-back":
             changes.append((report.at_us, report.seq, report.to))
@@ -319,7 +321,7 @@
                                   module="laboratory.watched") as router:
             end_s = time.monotonic() + seconds
             script_task = asyncio.create_task(script.run(end_s - 2.0))
-            load_results = await load.run(router.port, router.api_port)
+            load_results = await load.run(router.sip_port, router.api_port)
             await script_task
             deadline_s = time.monotonic() + MAX_WAIT_S
             while find_wrong_verdicts(script) and time.monotonic() < deadline_s:
@@ -347,10 +349,13 @@
 
 
 async def measure_without_versions(seed: int, seconds: float, rate: float) -> dict[str, Any]:
-    """Place the same calls with no plan and no control service, to measure the turns that the versions do not cause."""
+    """Measure the turns of the reactor under calls at the same rate, with no plan and no control service.
+
+    The calls are drawn from another seed than in measure(), so only their rate and mix are the same.
+    """
     load = await LoadProcess.start(4, seed, rate, seconds)
     async with running_router(load.nodes, module="laboratory.watched") as router:
-        load_results = await load.run(router.port, router.api_port)
+        load_results = await load.run(router.sip_port, router.api_port)
         await router.stop_and_read_counters()
         turns = dict(word.split("=") for word in router.log_path.read_text().splitlines()[-1].split()[1:])
     return {"seed": seed, **load_results, "longest_turn_ms": int(turns["longest_us"]) / 1000,
@@ -364,7 +369,7 @@
     parser.add_argument("--seconds", type=float, default=28.0, help="duration of the calls")
     parser.add_argument("--rate", type=float, default=200.0, help="calls per second, over both fronts together")
     parser.add_argument("--calls", type=int, default=10**9, help="maximum number of calls")
-    parser.add_argument("--without", action="store_true", help="place the same calls without any versions")
+    parser.add_argument("--without", action="store_true", help="place calls without any versions; ignores --calls")
     arguments = parser.parse_args()
     if arguments.without:
         print(json.dumps(asyncio.run(measure_without_versions(arguments.seed, arguments.seconds, arguments.rate))))
--- a/benchmarks/gossip_scale.py
+++ b/benchmarks/gossip_scale.py
@@ -2,6 +2,10 @@
 
 For each group size and loss rate: a steady phase, a failure of one instance, and a partition of 15 s between the zones.
 The state machines are the program's; the network is the simulation in laboratory/gossip_world.py.
+
+Units of the results: found_median and found_99 (the 99th percentile over the instances that detected the failure) are
+in probe intervals, found_by_all and healed_s in seconds of virtual time, datagrams_s and octets_s per instance and
+second, false_deaths_hour per instance and hour. false_standing counts the false detections that were not corrected.
 """
 
 from __future__ import annotations
--- a/benchmarks/narrowing.py
+++ b/benchmarks/narrowing.py
@@ -30,7 +30,10 @@
 
 
 class Simulation:
-    """A clock, peers that answer after a delay and hold a circuit for each call, and a caller that counts results."""
+    """Implements the router's ports: a virtual clock, peers, and a caller that counts the results of its calls.
+
+    The peers answer every set-up after a delay and hold a circuit for each call.
+    """
 
     def __init__(self, pass_constraints: bool, seed: int) -> None:
         self.clock_us, self.sequence = 1_000 * SECOND_US, itertools.count()
@@ -183,7 +186,11 @@
 
 
 def main() -> None:
-    """Print the results of both ways at three call rates, paired by seed: run n of each uses the same one."""
+    """Print the minimum and maximum of the results at three call rates, and all rows as a JSON object.
+
+    "told" in a row says whether the module was passed the constraints. Both ways are paired by seed: run n uses the
+    same one in every row.
+    """
     parser = argparse.ArgumentParser(description=__doc__.split("\n", maxsplit=1)[0])
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--runs", type=int, default=5)
--- a/laboratory/control_service.py
+++ b/laboratory/control_service.py
@@ -58,14 +58,18 @@
 
 @dataclass
 class ControlService:
-    """The service. Routers that connect are served from `catalogue`, as by a real service; the script does the rest."""
+    """The service. Routers that connect are sent the latest version of `catalogue`, as by a real service.
+
+    Everything that is sent later is sent by the script.
+    """
 
     catalogue: Catalogue = field(default_factory=Catalogue)
     report_log: ReportLog = field(default_factory=ReportLog)
     received_reports: list[ReceivedReport] = field(default_factory=list)  # without repetitions, in order of receipt
     streams: list[RouterStream] = field(default_factory=list)  # including those that are closed
-    # How status requests are answered: "accept" (204), "unavailable" (503, the reports are discarded), "close" (the
-    # reports are recorded and the connection is closed without a response), "hang" (as "close", but it stays open).
+    # How status requests are answered. "accept": the reports are recorded and the response is 204. "unavailable": the
+    # reports are discarded and the response is 503. "close": the reports are recorded, and the connection is closed
+    # without a response. "hang": the reports are recorded, and the connection stays open without a response.
     status_mode: str = "accept"
     sends_latest_on_connect: bool = True
     sends_keep_alives: bool = True
--- a/laboratory/load.py
+++ b/laboratory/load.py
@@ -70,7 +70,7 @@
             await asyncio.sleep(max(0.0, started_s + index / rate - time.monotonic()))
 
     def count_final_answers(self) -> Counter[int]:
-        """Return the number of calls with no final answer (key 0), with one (1), and with more than one (2)."""
+        """Return the number of calls by the number of their final answers: none, one, or 2 for more than one."""
         answer_counts: Counter[str] = Counter()
         for api in self.api_callers:
             answer_counts.update(message["id"] for message in api.received_messages
@@ -96,9 +96,10 @@
     deadline_s = time.monotonic() + FINAL_ANSWER_TIMEOUT_S
     while generator.count_final_answers()[0] and time.monotonic() < deadline_s:
         await asyncio.sleep(0.1)
-    answer_counts = generator.count_final_answers()
+    calls_by_answer_count = generator.count_final_answers()
     await asyncio.sleep(0.5)  # a duplicate final answer would arrive within this time
-    answer_counts, closed_connections = generator.count_final_answers(), generator.count_closed_connections()
+    calls_by_answer_count, closed_connections = (
+        generator.count_final_answers(), generator.count_closed_connections())
     for caller in generator.sip_callers:
         caller.close()
     for client in generator.api_callers:
@@ -106,8 +107,8 @@
     for node in exchanges.values():
         node.stop()
     await asyncio.sleep(0.1)
-    return {"calls": len(generator.caller_by_call), "final_missing": answer_counts[0],
-            "final_double": answer_counts[2],
+    return {"calls": len(generator.caller_by_call), "final_missing": calls_by_answer_count[0],
+            "final_double": calls_by_answer_count[2],
             "overlaps": sum(node.overlaps for node in exchanges.values()), "closed": closed_connections}
 
 
--- a/laboratory/stand_ins.py
+++ b/laboratory/stand_ins.py
@@ -56,8 +56,8 @@
     """A stand-in exchange. The called number determines its behaviour, and it counts the requests that it receives."""
 
     def __init__(self) -> None:
-        self.active_set_ups: Counter[str] = Counter()  # by call id: set-ups received here and not yet ended
-        self.request_counts: Counter[str] = Counter()  # set-ups by call id, and resume requests under "resume"
+        self.active_calls: Counter[str] = Counter()  # by call id: set-ups whose calls have not ended
+        self.request_counts: Counter[str] = Counter()  # set-ups by call id; "resume": all resume requests
         self.overlaps = 0  # set-ups received while another one of the same call was active
         self.received_releases: list[tuple[str, int]] = []  # call id and cause
         self.established_calls: set[str] = set()
@@ -83,8 +83,8 @@
     def count_set_up(self, call: str) -> None:
         """Count a received set-up."""
         self.request_counts[call] += 1
-        self.active_set_ups[call] += 1
-        self.overlaps += self.active_set_ups[call] > 1
+        self.active_calls[call] += 1
+        self.overlaps += self.active_calls[call] > 1
 
     def start_task(self, coroutine: Any) -> None:
         """Run a coroutine concurrently with the reading of the connection."""
@@ -121,15 +121,18 @@
                 self.handle_message(message, writer)
 
     def send_group_state(self, writer: asyncio.StreamWriter) -> None:
-        """Send the number of free circuits of the group: on connection, and whenever a circuit becomes free."""
-        engaged_circuits = sum(count > 0 for count in self.active_set_ups.values())
+        """Send the number of free circuits of the group: on connection, and whenever a circuit becomes free.
+
+        A call has a circuit from its set-up to its end.
+        """
+        engaged_circuits = sum(count > 0 for count in self.active_calls.values())
         self.send_message(writer, peer.MessageType.GROUP_STATE, "0" * 16, {
             peer.Parameter.REPORT:
                 f"x0:{max(0, GROUP_CIRCUITS - engaged_circuits)};x1:{GROUP_CIRCUITS};eps:0".encode()})
 
     def free_circuit(self, call: str, writer: asyncio.StreamWriter) -> None:
         """Free the circuit of a call, if it has one."""
-        if self.active_set_ups.pop(call, 0):
+        if self.active_calls.pop(call, 0):
             self.send_group_state(writer)
 
     def handle_message(self, message: peer.Message, writer: asyncio.StreamWriter) -> None:
@@ -174,7 +177,7 @@
             self.send_release(writer, call, 17, b"engaged")
         elif behaviour == "reset":
             self.send_release(writer, call, 41)
-        elif behaviour != "silent" and self.active_set_ups[call]:
+        elif behaviour != "silent" and self.active_calls[call]:
             self.established_calls.add(call)
             self.send_message(writer, peer.MessageType.ANSWER, call,
                               {peer.Parameter.DESCRIPTION: b"answer to " + description})
@@ -204,7 +207,7 @@
 
 
 class ApiNode(Node):
-    """A stand-in exchange that speaks the call-control API, with the WebSocket of an independent library."""
+    """A stand-in exchange that speaks the call-control API. Its WebSocket is wsproto's, not the router's own code."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Complete the handshake, send the state of the group, then handle messages."""
@@ -236,7 +239,7 @@
             await asyncio.sleep(0.01)
             behaviour = request["number"].split("-")[0]
             if behaviour in ("full", "fault"):
-                self.active_set_ups[call] = 0
+                self.active_calls[call] = 0
                 message_type = "refused" if behaviour == "full" else "failed"
                 self.send_message(connection, writer, type=message_type, id=call, reason="processor-full")
             elif behaviour != "silent":
@@ -245,7 +248,7 @@
                                   description="answer to " + request["description"])
                 if behaviour != "long":
                     await asyncio.sleep(0.1)
-                    self.active_set_ups[call] = 0
+                    self.active_calls[call] = 0
                     self.established_calls.discard(call)
                     self.send_message(connection, writer, type="released", id=call, cause=16)
         elif request["type"] == "resume":
@@ -256,7 +259,7 @@
                 self.send_message(connection, writer, type="error", id=call, code="unknown-call", reason="no such call")
         elif request["type"] in ("cancel", "release"):
             self.received_releases.append((call, request.get("cause", 0)))
-            self.active_set_ups[call] = 0
+            self.active_calls[call] = 0
             self.established_calls.discard(call)
 
 
@@ -309,7 +312,7 @@
 
 
 class ApiCaller:
-    """A client of the call-control API with one WebSocket, that of an independent library."""
+    """A client of the call-control API on one connection. Its WebSocket is wsproto's, not the router's own code."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.connection = reader, writer, WSConnection(ConnectionType.CLIENT)
@@ -370,10 +373,10 @@
 
 
 class RouterProcess:
-    """The program in a process of its own, started as in service."""
+    """The program in a process of its own, with its ports and its log. It is configured by environment and files."""
 
-    def __init__(self, process: asyncio.subprocess.Process, port: int, api_port: int, log_path: Path) -> None:
-        self.process, self.port, self.api_port, self.log_path = process, port, api_port, log_path
+    def __init__(self, process: asyncio.subprocess.Process, sip_port: int, api_port: int, log_path: Path) -> None:
+        self.process, self.sip_port, self.api_port, self.log_path = process, sip_port, api_port, log_path
 
     def reload_config(self, text: str) -> None:
         """Replace the configuration file, and send SIGHUP."""
@@ -410,15 +413,16 @@
                          module: str = "astertrack") -> AsyncIterator[RouterProcess]:
     """Run the program between stand-in exchanges, given by exchange number, and stop all of them at the end.
 
-    gateway is text to put at the head of gateway.toml, bulletin the address of the bulletin, versions the text of
-    versions.toml, and module the module to start. Fails with the log's text if the program ends before it serves.
+    gateway is text to put at the head of gateway.toml, bulletin the address of the bulletin service, versions the text
+    of versions.toml, and module the Python module to start. Fails with the log's text if the program ends before it
+    serves.
     """
-    port, api_port = free_port(), free_port()
+    sip_port, api_port = free_port(), free_port()
     with tempfile.TemporaryDirectory() as folder:
         endpoints = [{"name": f"s-{number}", "address": node.address, "zone": "fes", "type": "small-node",
                       "group": number, "status": "in_service", "weight": 1, "since_ms": 0}
                      for number, node in nodes.items()]
-        config = {"name": "n0", "listen": f"127.0.0.1:{port}", "seed": "1f", "bulletin": bulletin,
+        config = {"name": "n0", "listen": f"127.0.0.1:{sip_port}", "seed": "1f", "bulletin": bulletin,
                   "known": {"no": 1, "items": [{"no": 1, "roster": {
                       "index": 1, "snapshot": True, "endpoints": endpoints}}]}, "settings": SETTINGS}
         directory = Path(folder)
@@ -433,14 +437,14 @@
         with log_path.open("w") as log_file:
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", module, cwd=ROOT, stderr=log_file,
-                env={**os.environ, "RELAY_NAME": "n0", "RELAY_LISTEN": f"127.0.0.1:{port}",
+                env={**os.environ, "RELAY_NAME": "n0", "RELAY_LISTEN": f"127.0.0.1:{sip_port}",
                      "RELAY_CONFIG": str(directory / "config.json"),
                      "ASTERTRACK_GATEWAY": str(directory / "gateway.toml"),
                      "ASTERTRACK_VERSIONS": str(directory / "versions.toml")})
         try:
             await wait_until(lambda: process.returncode is not None or "event=serving" in log_path.read_text())
             assert process.returncode is None, log_path.read_text()
-            yield RouterProcess(process, port, api_port, log_path)
+            yield RouterProcess(process, sip_port, api_port, log_path)
         finally:
             if process.returncode is None:
                 process.kill()
--- a/tests/test_bulletin.py
+++ b/tests/test_bulletin.py
@@ -75,7 +75,7 @@
         nodes: dict[int, Node] = {1: await BinaryNode().start()}
         other = await BinaryNode().start()
         async with running_router(nodes, bulletin=bulletin.address) as router:
-            caller = await SipCaller.connect(router.port)
+            caller = await SipCaller.connect(router.sip_port)
             await wait_until(lambda: bulletin.writers)
             assert bulletin.last_event_ids == ["1"]
             assert await place_call(caller, "a" * 16, "good", 2) == 503  # no peer has number 2 yet
@@ -111,7 +111,7 @@
                 writer.write(b"id: 2\ndata: [\n\nid: 3\ndata: {\"no\":3,\"roster\":{\"endpoints\":[5]}}\n\n")
             bulletin.publish(make_endpoint("s-2", 2, other.address))
             await wait_until(lambda: other.writers)
-            caller = await SipCaller.connect(router.port)
+            caller = await SipCaller.connect(router.sip_port)
             assert await place_call(caller, "e" * 16, "good", 2) == 200
             # The first malformed event drops the connection, and what follows event 1 is requested again. The second
             # one arrived on the dropped connection and is ignored.
@@ -125,7 +125,7 @@
     async def work() -> None:
         old, new, other = await BulletinServer().start(), await BulletinServer().start(), await BinaryNode().start()
         async with running_router({1: await BinaryNode().start()}, bulletin=old.address) as router:
-            caller = await SipCaller.connect(router.port)
+            caller = await SipCaller.connect(router.sip_port)
             await wait_until(lambda: old.writers)
             old.publish(make_endpoint("s-2", 2, other.address))
             await router.wait_for_log("name=s-2")
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -73,7 +73,7 @@
                                                   Prefix("7", 3), RetryAdvice("unmatched", 300)))
         async with running_router(nodes, versions=make_settings(service)) as router:  # type: ignore[arg-type]
             await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
-            sip, api = await SipCaller.connect(router.port), await ApiCaller.connect(router.api_port)
+            sip, api = await SipCaller.connect(router.sip_port), await ApiCaller.connect(router.api_port)
             for number, node in (("51", 1), ("551", 2), ("71", 2)):
                 call, answer = await place_call(sip, number, dest=3)
                 assert answer.status == 200
@@ -104,7 +104,7 @@
         service.publish(VersionId(1, 1), make_plan(Prefix("5", 1)))
         async with running_router(nodes, versions=make_settings(service)) as router:  # type: ignore[arg-type]
             await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
-            sip = await SipCaller.connect(router.port)
+            sip = await SipCaller.connect(router.sip_port)
             for number, lines in ((2, [b"{"]), (3, [b'{"kind":"prefix","digits":"5","exchange":9}']),
                                   (4, [b'{"kind":"exchange","number":1}',
                                        b'{"kind":"choice","exchange":1,"over":[[1]]}']),
@@ -163,7 +163,7 @@
         service = await ControlService(sends_latest_on_connect=False).start()
         node = await BinaryNode().start()
         async with running_router({1: node}, versions=make_settings(service)) as router:
-            sip = await SipCaller.connect(router.port)
+            sip = await SipCaller.connect(router.sip_port)
             await wait_until(lambda: len(service.open_streams) == 1)
             service.send_raw(b"data: \xff\n\n")
             await wait_until(lambda: len(service.streams) == 2 and len(service.open_streams) == 1)
@@ -258,7 +258,7 @@
         nodes = {n: await BinaryNode().start() for n in (1, 2)}
         text = make_settings(store=str(tmp_path), address=address)
         async with running_router(nodes, versions=text) as router:  # type: ignore[arg-type]
-            sip = await SipCaller.connect(router.port)
+            sip = await SipCaller.connect(router.sip_port)
             call, answer = await place_call(sip, "51")
             assert answer.status == 200
             assert nodes[2].request_counts[call]
@@ -272,7 +272,7 @@
     async def work() -> None:
         node = await BinaryNode().start()
         async with running_router({1: node}, versions=make_settings(address=f"127.0.0.1:{free_port()}")) as router:
-            sip = await SipCaller.connect(router.port)
+            sip = await SipCaller.connect(router.sip_port)
             assert (await place_call(sip, "good-1", dest=1))[1].status == 200
             _, answer = await place_call(sip, "good-1")  # neither the caller nor a plan gives a destination
             assert answer.status == 503
@@ -288,7 +288,7 @@
         service.publish(VersionId(1, 1), make_plan())
         async with running_router(nodes, versions=make_settings(service, seconds=2.0)) as router:  # type: ignore[arg-type]
             await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
-            sip = await SipCaller.connect(router.port)
+            sip = await SipCaller.connect(router.sip_port)
             stop = False
 
             async def offer() -> None:
@@ -321,7 +321,7 @@
         service.publish(VersionId(1, 1), build(iter(near_zone)))
         async with running_router({1: near, 2: far}, versions=make_settings(service, seconds=2.0)) as router:
             await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
-            sip, stop = await SipCaller.connect(router.port), False
+            sip, stop = await SipCaller.connect(router.sip_port), False
             placed_calls: dict[str, tuple[int, float]] = {}
             loop = asyncio.get_running_loop()
 
@@ -391,7 +391,7 @@
         text = "[version]\nnumber = {}\n[[exchange]]\nnumber = {}\n[[prefix]]\ndigits = \"5\"\nexchange = {}\n"
         path.write_text(text.format(1, 1, 1))
         async with running_router(nodes, versions=make_settings(file=str(path))) as router:  # type: ignore[arg-type]
-            sip = await SipCaller.connect(router.port)
+            sip = await SipCaller.connect(router.sip_port)
             call, _ = await place_call(sip, "51")
             assert nodes[1].request_counts[call]
             path.write_text(text.format(2, 1, 2))  # names an exchange that is not listed: refused
@@ -414,7 +414,7 @@
         service.publish(VersionId(1, 1), plans[0])
         async with running_router(nodes, versions=make_settings(service)) as router:  # type: ignore[arg-type]
             await wait_until(lambda: "in-force" in service.reported_states(VersionId(1, 1)))
-            sip, api = await SipCaller.connect(router.port), await ApiCaller.connect(router.api_port)
+            sip, api = await SipCaller.connect(router.sip_port), await ApiCaller.connect(router.api_port)
             by_sip, by_api = [new_call_id() for _ in range(100)], [new_call_id() for _ in range(100)]
             for index in range(200):
                 service.publish(VersionId(1, index + 2), plans[index + 1])
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -28,7 +28,7 @@
         nodes: dict[int, Node] = {n: await BinaryNode().start() for n in (1, 2)}
         api_nodes: dict[int, Node] = {3: await ApiNode().start()}
         async with running_router(nodes, api_nodes) as router:
-            sip_callers = [await SipCaller.connect(router.port) for _ in range(2)]
+            sip_callers = [await SipCaller.connect(router.sip_port) for _ in range(2)]
             api_callers = [await ApiCaller.connect(router.api_port) for _ in range(2)]
             by_sip, by_api = {}, {}
             for index in range(120):
@@ -77,7 +77,7 @@
     async def run_test() -> None:
         node = await BinaryNode().start()
         async with running_router({1: node}) as router:
-            sip, api = await SipCaller.connect(router.port), await ApiCaller.connect(router.api_port)
+            sip, api = await SipCaller.connect(router.sip_port), await ApiCaller.connect(router.api_port)
             first, second = new_call_id(), new_call_id()
             sip.invite(first, "silent-1", 1)
             api.set_up(second, "silent-2", 1)
@@ -138,7 +138,7 @@
             unmasked.writer.write(b"\x81\x03abc")  # a frame of a client has to be masked
             await wait_until(lambda: unmasked.close_code is not None)
             assert unmasked.close_code == 1002
-            malformed = await SipCaller.connect(router.port)
+            malformed = await SipCaller.connect(router.sip_port)
             malformed.writer.write(b"INVITE what SIP/2.0\r\n\r\n")
             await wait_until(malformed.reader.at_eof)
             api.set_up(call, "good-1", 1)
@@ -151,7 +151,7 @@
     async def run_test() -> None:
         node = await BinaryNode().start()
         async with running_router({1: node}) as router:
-            sip, call, pending = await SipCaller.connect(router.port), new_call_id(), new_call_id()
+            sip, call, pending = await SipCaller.connect(router.sip_port), new_call_id(), new_call_id()
             sip.invite(call, "long-1", 1)
             await wait_until(lambda: call in sip.final_responses)
             sip.invite(pending, "silent-1", 1)
@@ -169,7 +169,7 @@
     async def run_test() -> None:
         node = await BinaryNode().start()
         async with running_router({1: node}) as router:
-            sip, orphan, own = await SipCaller.connect(router.port), new_call_id(), new_call_id()
+            sip, orphan, own = await SipCaller.connect(router.sip_port), new_call_id(), new_call_id()
             sip.invite(own, "fault-1", 1)
             await wait_until(lambda: own in sip.final_responses)
             node.send_release(node.writers[0], own, 16)  # a call of this process that was never established
@@ -187,7 +187,7 @@
         node = await ApiNode().start()
         async with running_router({}, {1: node}) as router:
             sip, resumed, lost, pending = (
-                await SipCaller.connect(router.port), new_call_id(), new_call_id(), new_call_id())
+                await SipCaller.connect(router.sip_port), new_call_id(), new_call_id(), new_call_id())
             sip.invite(resumed, "long-1", 1)
             sip.invite(lost, "long-2", 1)
             sip.invite(pending, "silent-1", 1)
@@ -223,11 +223,11 @@
     async def run_test() -> None:
         node = await BinaryNode().start()
         async with running_router({1: node}) as router:
-            sip, before, after = await SipCaller.connect(router.port), new_call_id(), new_call_id()
+            sip, before, after = await SipCaller.connect(router.sip_port), new_call_id(), new_call_id()
             sip.invite(before, "good-1", 1)
             await wait_until(lambda: node.request_counts[before])
             router.process.terminate()
-            late = await SipCaller.connect(router.port)
+            late = await SipCaller.connect(router.sip_port)
             late.send_request("OPTIONS", "ping")
             late.invite(after, "good-2", 1)
             await wait_until(lambda: before in sip.final_responses and after in late.final_responses
@@ -242,7 +242,7 @@
     async def run_test() -> None:
         node = await BinaryNode().start()
         async with running_router({1: node}) as router:
-            sip, call = await SipCaller.connect(router.port), new_call_id()
+            sip, call = await SipCaller.connect(router.sip_port), new_call_id()
             sip.invite(call, "long-1", 1)
             await wait_until(lambda: call in sip.final_responses)
             counts = await router.stop_and_read_counters()
@@ -256,7 +256,7 @@
     async def run_test() -> None:
         node = await BinaryNode().start()
         async with running_router({1: node}) as router:
-            sip, call, own = await SipCaller.connect(router.port), new_call_id(), new_call_id()
+            sip, call, own = await SipCaller.connect(router.sip_port), new_call_id(), new_call_id()
             sip.invite(own, "fault-1", 1)
             await wait_until(lambda: own in sip.final_responses)
             sip.send_request("BYE", own)  # of this process and ended: there is nothing to release
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -83,7 +83,7 @@
         node = await BinaryNode().start()
         store = f'[store]\nkind = "sqlite"\ndatabase = "{tmp_path / "calls.db"}"'
         async with running_router({1: node}, gateway=store) as router:
-            await place_calls(router.port)
+            await place_calls(router.sip_port)
             counts = await router.stop_and_read_counters()
             assert counts["store_written"] == 2 * len(CALLS)
         rows = sqlite3.connect(tmp_path / "calls.db").execute(
@@ -98,7 +98,7 @@
     async def body() -> None:
         node, server = await BinaryNode().start(), await PostgresStandIn().start()
         async with running_router({1: node}, gateway=gateway_settings(server.port)) as router:
-            await place_calls(router.port)
+            await place_calls(router.sip_port)
             counts = await router.stop_and_read_counters()
             assert counts["store_written"] == 2 * len(CALLS)
         inserts = [query for query in server.queries if query.startswith("INSERT INTO call_records")]
@@ -116,7 +116,7 @@
         node, server = await BinaryNode().start(), await PostgresStandIn(unresponsive=True).start()
         port = server.port if unresponsive else 1  # nothing listens on port 1
         async with running_router({1: node}, gateway=gateway_settings(port)) as router:
-            await place_calls(router.port)
+            await place_calls(router.sip_port)
             counts = await router.stop_and_read_counters()
             assert counts["final_answered"] == len(CALLS)
             assert counts["store_written"] == 0
