--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -38,7 +38,7 @@
         clock.call_at(clock.now_us() + self.link.dial_timeout_us, self._on_handshake_timeout)
 
     def _on_handshake_timeout(self) -> None:
-        """Abort a handshake that is not complete in time: the link does not redial while it waits for one."""
+        """Abort a handshake that is not complete in time: the link does not dial again while it waits for one."""
         if self.websocket.state is ws.State.CONNECTING:
             self.abort()
 
--- a/astertrack/net/bulletin.py
+++ b/astertrack/net/bulletin.py
@@ -24,7 +24,7 @@
 # The bulletin sends a comment every second. If a connection stops delivering, a router is expected to know the next
 # event within 4 s; with a timeout of 3.5 s, to which a dial is added, it took longer.
 UNRESPONSIVE_TIMEOUT_US = 2_200_000
-REDIAL_INTERVAL_US = 200_000
+RECONNECT_INTERVAL_US = 200_000
 DIAL_TIMEOUT_US = 1_000_000
 STATUS_READINESS = {"in_service": io.Readiness.READY, "terminating": io.Readiness.DRAINING,
                     "terminated": io.Readiness.GONE}
@@ -114,7 +114,7 @@
         self.connector: Any = None
         self.connection: BulletinConnection | None = None
         self._unresponsive_timer: Timer | None = None
-        self._redial_timer: Timer | None = None
+        self._reconnect_timer: Timer | None = None
         self._retried_after = -1  # the event after which a malformed one was requested again
 
     def buildProtocol(self, addr: IAddress | None) -> BulletinConnection:
@@ -128,7 +128,7 @@
 
     def dial(self) -> None:
         """Connect."""
-        self._redial_timer = None
+        self._reconnect_timer = None
         host, _, port = self.address.rpartition(":")
         self.counts["bulletin_dials"] += 1
         self.connector = self.clock.reactor.connectTCP(host, int(port), self, timeout=DIAL_TIMEOUT_US / 1e6)
@@ -145,8 +145,8 @@
             connection.drop()
         elif connector is not None and connector.state == "connecting":
             connector.stopConnecting()
-        if self._redial_timer is not None:
-            self._redial_timer.cancel()
+        if self._reconnect_timer is not None:
+            self._reconnect_timer.cancel()
         self.dial()
 
     def on_connected(self, connection: BulletinConnection) -> None:
@@ -167,12 +167,12 @@
             self.connection.drop()
 
     def on_disconnected(self) -> None:
-        """Schedule a redial after a connection has ended or could not be established."""
+        """Schedule the next dial after a connection has ended or could not be established."""
         self.connection = None
         if self._unresponsive_timer is not None:
             self._unresponsive_timer.cancel()
-        if self._redial_timer is None:
-            self._redial_timer = self.clock.call_at(self.clock.now_us() + REDIAL_INTERVAL_US, self.dial)
+        if self._reconnect_timer is None:
+            self._reconnect_timer = self.clock.call_at(self.clock.now_us() + RECONNECT_INTERVAL_US, self.dial)
 
     def on_event(self, event: sse.ServerSentEvent) -> None:
         """Pass on the change of the roster that an event describes, once per event."""
--- a/astertrack/net/control.py
+++ b/astertrack/net/control.py
@@ -41,7 +41,7 @@
 UNRESPONSIVE_TIMEOUT_US = 3_200_000
 # The interval between dials doubles with each failure, up to the maximum. The actual delay is drawn at random between
 # half the interval and the whole interval.
-MIN_REDIAL_INTERVAL_US, MAX_REDIAL_INTERVAL_US = 200_000, 15_000_000
+MIN_RECONNECT_INTERVAL_US, MAX_RECONNECT_INTERVAL_US = 200_000, 15_000_000
 # The number of failures is reduced to this once a version was received completely: the next dial is after 0.8 s at the
 # latest.
 MAX_FAILURES_AFTER_VERSION = 2
@@ -178,7 +178,7 @@
         self._full_requested = self._work_scheduled = self._stopped = False
         self._connector: Any = None
         self._unresponsive_timer: Timer | None = None
-        self._redial_timer: Timer | None = None
+        self._reconnect_timer: Timer | None = None
         self._failures = 0
         self._connected_us = 0
 
@@ -193,7 +193,7 @@
     def stop(self) -> None:
         """Stop reading versions and sending reports."""
         self._stopped = True
-        for timer in (self._unresponsive_timer, self._redial_timer):
+        for timer in (self._unresponsive_timer, self._reconnect_timer):
             if timer is not None:
                 timer.cancel()
         if self.stream is not None:
@@ -208,7 +208,7 @@
         self.address, self._failures = address, 0
         if self.stream is not None:
             self.stream.drop()
-        elif address and self._redial_timer is None and self._connector is None:
+        elif address and self._reconnect_timer is None and self._connector is None:
             self.dial()
 
     def _tick(self) -> None:
@@ -230,7 +230,7 @@
 
     def dial(self) -> None:
         """Connect."""
-        self._redial_timer = None
+        self._reconnect_timer = None
         if self._stopped or not self.address:
             return
         self.counts["control_dials"] += 1
@@ -241,7 +241,7 @@
 
     def _on_dial_failed(self) -> None:
         self._connector = None
-        self._schedule_redial()
+        self._schedule_reconnect()
 
     def make_request(self) -> bytes:
         """Return the request that opens a stream."""
@@ -281,15 +281,15 @@
         self.execute_actions()
         if self.clock.now_us() - self._connected_us > HEALTHY_STREAM_US:
             self._failures = 0
-        self._schedule_redial()
+        self._schedule_reconnect()
 
-    def _schedule_redial(self) -> None:
-        if self._stopped or self._redial_timer is not None:
+    def _schedule_reconnect(self) -> None:
+        if self._stopped or self._reconnect_timer is not None:
             return
-        max_delay_us = min(MAX_REDIAL_INTERVAL_US, MIN_REDIAL_INTERVAL_US << min(self._failures, 16))
+        max_delay_us = min(MAX_RECONNECT_INTERVAL_US, MIN_RECONNECT_INTERVAL_US << min(self._failures, 16))
         self._failures += 1
         delay_us = int(max_delay_us * (0.5 + 0.5 * self._random.random()))
-        self._redial_timer = self.clock.call_at(self.clock.now_us() + delay_us, self.dial)
+        self._reconnect_timer = self.clock.call_at(self.clock.now_us() + delay_us, self.dial)
 
     def on_event(self, event: control.Event) -> None:
         """Pass an event of the stream to the version manager."""
@@ -301,8 +301,8 @@
                 self.versions.receive_lines(lines)
             case control.VersionEnd():
                 self.versions.receive_end(now)
-                # A stream that delivers versions is worth redialling soon even if it breaks off: with the full backoff
-                # a router whose stream broke off four times in ten seconds was disconnected for eleven seconds.
+                # The router reconnects soon after a stream that delivered a version, even if it breaks off: with the
+                # full backoff, a router whose stream broke off four times in ten seconds was disconnected for eleven.
                 self._failures = min(self._failures, MAX_FAILURES_AFTER_VERSION)
             case Malformed(reason):
                 self.counts["control_malformed"] += 1
--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -20,8 +20,8 @@
 from ospreylug import interface as io
 
 log = structlog.get_logger()
-REDIAL_INTERVAL_US = 250_000  # between dials to a peer that does not answer
-MIN_CONNECTED_US = 100_000  # after a connection that lasted less than this, REDIAL_INTERVAL_US passes before a dial
+RECONNECT_INTERVAL_US = 250_000  # between dials to a peer that does not answer
+MIN_CONNECTED_US = 100_000  # after a connection that lasted less than this, RECONNECT_INTERVAL_US passes before a dial
 # The peer's process counts as gone after this many consecutive refused dials. A single refused dial, like a reset, does
 # not prove that it has ended.
 REFUSED_DIALS_UNTIL_LOST = 2
@@ -80,7 +80,7 @@
     _connected_us: int = 0
     _last_received_us: int = 0
     _probe_sent: bool = False  # since the last bytes were received
-    _redial_timer: Timer | None = None
+    _reconnect_timer: Timer | None = None
 
     # ---- implemented by subclasses
 
@@ -178,7 +178,7 @@
             self.router.on_peer_lost(self.name)  # the process is gone, and its calls with it
         for call in queued_set_ups:
             self.router.on_ended(self.name, call, AttemptEnd(io.Outcome.UNREACHABLE))
-        self._schedule_redial()
+        self._schedule_reconnect()
 
     def on_disconnected(self, connection: StreamProtocol, reason: Failure) -> None:
         """Handle the end of a connection, which also ends the set-ups that are outstanding on it."""
@@ -224,16 +224,16 @@
         for call in outstanding:
             self.router.on_ended(self.name, call, AttemptEnd(self.connection_lost_outcome))
         if now - self._connected_us < MIN_CONNECTED_US:
-            self._schedule_redial()
+            self._schedule_reconnect()
         else:
             self.dial()  # messages about established calls arrive on the next connection
 
-    def _schedule_redial(self) -> None:
-        if self._redial_timer is None and self.is_wanted():
-            def redial() -> None:
-                self._redial_timer = None
+    def _schedule_reconnect(self) -> None:
+        if self._reconnect_timer is None and self.is_wanted():
+            def reconnect() -> None:
+                self._reconnect_timer = None
                 self.dial()
-            self._redial_timer = self.clock.call_at(self.clock.now_us() + REDIAL_INTERVAL_US, redial)
+            self._reconnect_timer = self.clock.call_at(self.clock.now_us() + RECONNECT_INTERVAL_US, reconnect)
 
     def retire(self) -> None:
         """Shut the link down for good, once the peer has left the roster: nothing is kept for it or sent to it.
@@ -242,9 +242,9 @@
         """
         self.retired = True
         self.pending_releases.clear()
-        if self._redial_timer is not None:
-            self._redial_timer.cancel()
-            self._redial_timer = None
+        if self._reconnect_timer is not None:
+            self._reconnect_timer.cancel()
+            self._reconnect_timer = None
         if self._connector is not None and self._connector.state == "connecting":
             self._connector.stopConnecting()
         self._connector = None
--- a/tests/test_bulletin.py
+++ b/tests/test_bulletin.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from astertrack.net.bulletin import REDIAL_INTERVAL_US, UNRESPONSIVE_TIMEOUT_US, read_event
+from astertrack.net.bulletin import RECONNECT_INTERVAL_US, UNRESPONSIVE_TIMEOUT_US, read_event
 from laboratory.stand_ins import BinaryNode, Node, SipCaller, running_router, wait_until
 
 
@@ -148,8 +148,8 @@
     asyncio.run(work())
 
 
-def test_an_unresponsive_bulletin_is_redialled_within_the_time_allowed() -> None:
-    assert UNRESPONSIVE_TIMEOUT_US + REDIAL_INTERVAL_US < 3_000_000  # 4 s are allowed, including a dial
+def test_a_router_reconnects_to_an_unresponsive_bulletin_within_the_time_allowed() -> None:
+    assert UNRESPONSIVE_TIMEOUT_US + RECONNECT_INTERVAL_US < 3_000_000  # 4 s are allowed, including a dial
 
 
 def test_an_event_is_parsed_into_entries() -> None:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -19,7 +19,7 @@
     KEEPALIVE_IDLE_US,
     LIVENESS_CHECK_INTERVAL_US,
     PEER_LOST_TIMEOUT_US,
-    REDIAL_INTERVAL_US,
+    RECONNECT_INTERVAL_US,
     UNRESPONSIVE_TIMEOUT_US,
 )
 from astertrack.net.peers import PARTIAL_MESSAGE_TIMEOUT_US, Endpoint, PeerLink, PeerTable
@@ -130,7 +130,7 @@
     close_by_peer(peer.connection)
     assert not peer.harness.finals
     assert peer.router.counts["attempts_cut"] == 2
-    peer.connect()  # it was redialled at once; set-ups that may have been answered are released before anything else
+    peer.connect()  # the link reconnects at once; set-ups that may have been answered are released before anything else
     assert sorted(peer.sent_messages()) == [
         (wire.MessageType.RELEASE, FIRST_CALL), (wire.MessageType.RELEASE, SECOND_CALL)]
     peer.pass_time(350_000)
@@ -196,10 +196,10 @@
     peer.connection.connectionLost(cast(Any, Failure)(ConnectionLost()))
     assert not peer.harness.caller_releases
     peer.fail_dial(TimeoutError)
-    peer.pass_time(REDIAL_INTERVAL_US + 50_000)
+    peer.pass_time(RECONNECT_INTERVAL_US + 50_000)
     peer.fail_dial(ConnectionRefusedError)
     assert not peer.harness.caller_releases
-    peer.pass_time(REDIAL_INTERVAL_US + 50_000)
+    peer.pass_time(RECONNECT_INTERVAL_US + 50_000)
     peer.fail_dial(ConnectionRefusedError)
     assert peer.harness.caller_releases == {FIRST_CALL: 1}
 
@@ -323,7 +323,7 @@
         assert not link.outstanding_set_ups & set(link.queued_set_ups)
         assert not link.outstanding_set_ups or link.connection is not None
         assert all(count == 1 for count in self.peer.harness.finals.values())
-        assert link.connection is not None or link._connector is not None or link._redial_timer is not None
+        assert link.connection is not None or link._connector is not None or link._reconnect_timer is not None
         assert len(link.pending_releases) <= self.call_count
 
 
