--- a/laboratory/stand_ins.py
+++ b/laboratory/stand_ins.py
@@ -279,10 +279,10 @@
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def invite(self, call: str, number: str, dest: int, wait_ms: int = 3000,
-               tier: str = "ledger-read") -> None:
-        """Place a call; tier is the name of its service class."""
+               class_name: str = "ledger-read") -> None:
+        """Place a call of this service class."""
         self.writer.write(sip.encode_message(f"INVITE sip:{number}@net SIP/2.0", [
-            ("Via", "SIP/2.0/TCP peer"), ("Call-ID", call), ("CSeq", "1 INVITE"), ("X-Tier", tier),
+            ("Via", "SIP/2.0/TCP peer"), ("Call-ID", call), ("CSeq", "1 INVITE"), ("X-Tier", class_name),
             ("X-Deadline", str(wait_ms)), ("X-Attrs", f"dest:{dest};width:1;via:-1")],
             b"offer " + call.encode()))
 
@@ -334,10 +334,10 @@
         self.writer.write(self.connection.send(Message(json.dumps(message))))
 
     def set_up(self, call: str, number: str, dest: int, wait_ms: int = 3000,
-               tier: str = "ledger-read") -> None:
-        """Place a call; tier is the name of its service class."""
+               class_name: str = "ledger-read") -> None:
+        """Place a call of this service class."""
         self.send(type="setup", id=call, number=number, dest=dest, description=f"offer {call}",
-                  deadline=int(time.time() * 1000) + wait_ms, **{"class": tier})
+                  deadline=int(time.time() * 1000) + wait_ms, **{"class": class_name})
 
     async def read(self) -> None:
         """Read and record messages until the connection ends, and answer pings."""
--- a/tests/drivers.py
+++ b/tests/drivers.py
@@ -68,10 +68,10 @@
 
 
 def make_invite(call: str, number: str = "5", attrs: str = "dest:1;width:1;via:-1", wait_ms: str = "3000",
-                body: bytes = b"offer", tier: str = "ledger-read") -> bytes:
+                body: bytes = b"offer", class_name: str = "ledger-read") -> bytes:
     """Return a set-up."""
     return sip.encode_message(f"INVITE sip:{number}@net SIP/2.0", [
-        ("Call-ID", call), ("CSeq", "1 INVITE"), ("X-Tier", tier), ("X-Deadline", wait_ms),
+        ("Call-ID", call), ("CSeq", "1 INVITE"), ("X-Tier", class_name), ("X-Deadline", wait_ms),
         ("X-Attrs", attrs)], body)
 
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -175,7 +175,7 @@
     {"attrs": "dest:1;width:1e9"}, {"attrs": "dest:1.5"}, {"attrs": "dest:-1"}, {"attrs": "dest:1e300"},
     {"attrs": "dest:one"}, {"attrs": ""}, {"attrs": "dest:1;via:nan"}, {"attrs": "dest:1;transit:7"},
     {"attrs": "dest:1;dest:2"}, {"wait_ms": "999999999"}, {"wait_ms": "-5"}, {"wait_ms": "1e3"},
-    {"tier": "unheard-of"}, {"body": b"x" * 15_900}])
+    {"class_name": "unheard-of"}, {"body": b"x" * 15_900}])
 def test_a_set_up_with_attributes_out_of_range_gets_an_error_and_is_never_sent(bad: dict[str, Any]) -> None:
     fixture = SipFrontFixture()
     connection, transport = fixture.connect()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -56,10 +56,10 @@
 
 
 async def place_call(caller: SipCaller, number: str, dest: int = -1, wait_ms: int = 2000,
-                 tier: str = "ledger-read") -> tuple[str, Any]:
+                 class_name: str = "ledger-read") -> tuple[str, Any]:
     """Place a call by SIP and wait for its final answer."""
     call = new_call_id()
-    caller.invite(call, number, dest, wait_ms, tier)
+    caller.invite(call, number, dest, wait_ms, class_name)
     await wait_until(lambda: call in caller.final_responses)
     return call, caller.final_responses[call][0]
 
@@ -172,7 +172,7 @@
             service.send_raw(sse.encode_event("end", (b"{}",)))
             await wait_until(lambda: service.reported_reasons(VersionId(1, 1)) == ["length"])
             assert (await place_call(sip, "good-1", dest=1))[1].status == 200
-            await wait_until(lambda: len(service.open_streams) == 1)  # it has redialled and requested a full version
+            await wait_until(lambda: len(service.open_streams) == 1)  # it has reconnected and requested a full version
             assert service.streams[-1].request.full
             service.sends_keep_alives = False
             stream_count = len(service.streams)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -123,7 +123,7 @@
             api.send(type="nonsense", id=call)
             api.send(type="setup", id=call, dest=1)
             api.send(type="cancel", id=call)
-            api.set_up(call, "good-1", 1, tier="unheard-of")
+            api.set_up(call, "good-1", 1, class_name="unheard-of")
             api.set_up(call, "good-1", -1)
             await wait_until(lambda: len(api.received_messages) == 5)
             assert [m["code"] for m in api.received_messages] == [
