--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -119,9 +119,9 @@
         entry = self.router.roster.get(self.name)
         return entry.number if entry is not None else -1
 
-    def send_release(self, call: str, cause: int, answered: bool) -> None:
+    def send_release(self, call_id: str, cause: int, answered: bool) -> None:
         """Send a cancel or a release, for which the API has different messages."""
-        self._send_message(api.Release(call, cause) if answered else api.Cancel(call))
+        self._send_message(api.Release(call_id, cause) if answered else api.Cancel(call_id))
 
     def probe(self) -> None:
         """Ping the destination, and report whether it is connected without waiting for the pong.
@@ -145,24 +145,24 @@
         """Pass a message from the destination to the router."""
         self.counts["peer_" + api.TYPE_NAMES[type(message)]] += 1
         match message:
-            case api.Answer(call, description):
-                self.outstanding_set_ups.discard(call)
-                self.router.on_answered(self.name, call, description.encode())
-            case api.Refused(call, _, reason):
-                self._end_attempt(call, io.Outcome.TURNED_AWAY, REASON_CAUSES.get(reason, io.Cause.NONE))
-            case api.Failed(call, reason):
-                self._end_attempt(call, io.Outcome.NUMBER_FAULT, REASON_CAUSES.get(reason, io.Cause.NONE))
-            case api.Cancelled(call):
-                self._end_attempt(call, io.Outcome.CUT)
-            case api.Released(call, cause):
-                self._end_attempt(call, io.Outcome.OK if cause == NORMAL_CLEARING else io.Outcome.CUT)
-            case api.Error(code, reason, call):
-                log.warning("error message from a destination", peer=self.name, code=code, reason=reason, call=call)
-                if call is not None:  # the destination does not know the call, or will never set it up
-                    self._end_attempt(call, io.Outcome.CUT if code == "unknown-call" else io.Outcome.NUMBER_FAULT)
+            case api.Answer(call_id, description):
+                self.outstanding_set_ups.discard(call_id)
+                self.router.on_answered(self.name, call_id, description.encode())
+            case api.Refused(call_id, _, reason):
+                self._end_attempt(call_id, io.Outcome.TURNED_AWAY, REASON_CAUSES.get(reason, io.Cause.NONE))
+            case api.Failed(call_id, reason):
+                self._end_attempt(call_id, io.Outcome.NUMBER_FAULT, REASON_CAUSES.get(reason, io.Cause.NONE))
+            case api.Cancelled(call_id):
+                self._end_attempt(call_id, io.Outcome.CUT)
+            case api.Released(call_id, cause):
+                self._end_attempt(call_id, io.Outcome.OK if cause == NORMAL_CLEARING else io.Outcome.CUT)
+            case api.Error(code, reason, call_id):
+                log.warning("error message from a destination", peer=self.name, code=code, reason=reason, call=call_id)
+                if call_id is not None:  # the destination does not know the call, or will never set it up
+                    self._end_attempt(call_id, io.Outcome.CUT if code == "unknown-call" else io.Outcome.NUMBER_FAULT)
             case api.State(free, size, hold_back):
                 self.router.on_group_state(self.name, io.Load(free=free, size=size, hold_back=hold_back))
 
-    def _end_attempt(self, call: str, outcome: io.Outcome, cause: io.Cause = io.Cause.NONE) -> None:
-        self.outstanding_set_ups.discard(call)
-        self.router.on_ended(self.name, call, AttemptEnd(outcome, cause))
+    def _end_attempt(self, call_id: str, outcome: io.Outcome, cause: io.Cause = io.Cause.NONE) -> None:
+        self.outstanding_set_ups.discard(call_id)
+        self.router.on_ended(self.name, call_id, AttemptEnd(outcome, cause))
--- a/astertrack/net/callers.py
+++ b/astertrack/net/callers.py
@@ -59,7 +59,7 @@
         self.router, self.clock, self.classes, self.counts, self.max_connections = (
             router, clock, classes, counts, max_connections)
         self.connections: dict[CallerConnection, None] = {}  # the one that has been idle for longest first
-        self.pending_releases: dict[str, PendingRelease] = {}  # by call: not sent yet, or not confirmed
+        self.pending_releases: dict[str, PendingRelease] = {}  # by call id: not sent yet, or not confirmed
         # A connection that was evicted keeps its descriptor until the next iteration of the reactor.
         self.open_descriptors = 0
         clock.call_at(clock.now_us() + SWEEP_INTERVAL_US, self._sweep)
@@ -93,19 +93,19 @@
         now = self.clock.now_us()
         for connection in list(self.connections):
             connection.check_timeouts(now)
-        for call, release in list(self.pending_releases.items()):
-            self._check_release(call, release, now)
+        for call_id, release in list(self.pending_releases.items()):
+            self._check_release(call_id, release, now)
         self.clock.call_at(now + SWEEP_INTERVAL_US, self._sweep)
 
     # ---- releases
 
-    def release(self, call: str, cause: int, preferred: CallerConnection | None = None) -> None:
+    def release(self, call_id: str, cause: int, preferred: CallerConnection | None = None) -> None:
         """Release an established call, on its own connection or any other: no connection owns a call."""
         self.counts["sip_releases_sent"] += 1
-        self.pending_releases[call] = release = PendingRelease(cause, self.clock.now_us())
-        self._send_release(call, release, preferred)
+        self.pending_releases[call_id] = release = PendingRelease(cause, self.clock.now_us())
+        self._send_release(call_id, release, preferred)
 
-    def _send_release(self, call: str, release: PendingRelease, preferred: CallerConnection | None = None,
+    def _send_release(self, call_id: str, release: PendingRelease, preferred: CallerConnection | None = None,
                       any_connection: bool = False) -> None:
         """Send a release on the preferred connection or the most recently active one on which calls were answered.
 
@@ -121,18 +121,18 @@
             return  # the next sweep tries again
         release.tried_connections.append(preferred)
         release.sent_us = self.clock.now_us()
-        preferred.release(call, release.cause)
+        preferred.release(call_id, release.cause)
 
-    def _check_release(self, call: str, release: PendingRelease, now_us: int) -> None:
+    def _check_release(self, call_id: str, release: PendingRelease, now_us: int) -> None:
         if not release.tried_connections:
             # There was no connection with answered calls to send it on: after one interval any connection will do.
-            self._send_release(call, release, any_connection=now_us - release.requested_us >= SWEEP_INTERVAL_US)
+            self._send_release(call_id, release, any_connection=now_us - release.requested_us >= SWEEP_INTERVAL_US)
         elif not self.counts["sip_releases_heard"] or len(release.tried_connections) >= MAX_RELEASE_ATTEMPTS:
             # Callers are not obliged to confirm a release: while none ever has, repeating one is of no use.
-            del self.pending_releases[call]
+            del self.pending_releases[call_id]
         elif now_us - release.sent_us > RELEASE_RESPONSE_TIMEOUT_US:
             self.counts["sip_releases_repeated"] += 1
-            self._send_release(call, release)
+            self._send_release(call_id, release)
 
 
 class CallerConnection(StreamProtocol):
@@ -192,9 +192,9 @@
         """
         self.front.connections.pop(self, None)
         self.front.open_descriptors -= 1
-        for call in list(self.sip_connection.pending_invites):
-            del self.sip_connection.pending_invites[call]
-            self.router.cancel(call)
+        for call_id in list(self.sip_connection.pending_invites):
+            del self.sip_connection.pending_invites[call_id]
+            self.router.cancel(call_id)
 
     def check_timeouts(self, now_us: int) -> None:
         """Close the connection if a timeout has expired: each holds a descriptor, and some callers never close."""
@@ -217,9 +217,9 @@
         """Refuse the pending set-ups and close, waiting at most CLOSE_TIMEOUT_US until the responses are sent."""
         self.counts[counter] += 1
         self.closing_since_us = self.front.clock.now_us()
-        for call in list(self.sip_connection.pending_invites):
-            self.router.cancel(call)
-            self.sip_connection.reject(call, SERVICE_UNAVAILABLE)
+        for call_id in list(self.sip_connection.pending_invites):
+            self.router.cancel(call_id)
+            self.sip_connection.reject(call_id, SERVICE_UNAVAILABLE)
         self._flush()
         self.close()
 
@@ -242,19 +242,19 @@
             match event:
                 case sip.SetUp():
                     self._on_set_up(event)
-                case sip.CallCancelled(call):
+                case sip.CallCancelled(call_id):
                     self.counts["sip_given_up"] += 1
-                    if call in self.sip_connection.pending_invites:
-                        self.router.cancel(call)
-                        self.sip_connection.reject(call, REQUEST_TERMINATED)
-                case sip.CallReleased(call, cause):
+                    if call_id in self.sip_connection.pending_invites:
+                        self.router.cancel(call_id)
+                        self.sip_connection.reject(call_id, REQUEST_TERMINATED)
+                case sip.CallReleased(call_id, cause):
                     self.counts["sip_hung_up"] += 1
-                    self.router.release_call(call, cause)
+                    self.router.release_call(call_id, cause)
                 case sip.Acknowledged():
                     self.counts["sip_acknowledged"] += 1
-                case sip.ReleaseConfirmed(call):
+                case sip.ReleaseConfirmed(call_id):
                     self.counts["sip_releases_heard"] += 1
-                    self.front.pending_releases.pop(call, None)
+                    self.front.pending_releases.pop(call_id, None)
                 case Malformed(reason):
                     log.warning("malformed data from a caller", reason=reason)
                     self._refuse_and_close("sip_malformed")
@@ -295,32 +295,32 @@
             now + min(event.wait_ms * 1000, max_wait_us), event.description, width=width,
             transit=bool(attrs.get("transit")), via=int(via), cut_before=bool(attrs.get("again")))
 
-    def on_answered(self, call: str, description: bytes) -> None:
+    def on_answered(self, call_id: str, description: bytes) -> None:
         """Send the answer: the call is established."""
-        if self.sip_connection.answer(call, description):
+        if self.sip_connection.answer(call_id, description):
             self.has_answered_call = True
             self.counts["sip_answers_sent"] += 1
         self._flush()
 
-    def on_refused(self, call: str, wait_us: int) -> None:
+    def on_refused(self, call_id: str, wait_us: int) -> None:
         """Refuse a set-up, and tell the caller when to try again."""
-        if self.sip_connection.reject(call, SERVICE_UNAVAILABLE, -(-wait_us // 1000)):
+        if self.sip_connection.reject(call_id, SERVICE_UNAVAILABLE, -(-wait_us // 1000)):
             self.counts["sip_refusals_sent"] += 1
         self._flush()
 
-    def on_failed(self, call: str) -> None:
+    def on_failed(self, call_id: str) -> None:
         """Report that the call has failed."""
-        if self.sip_connection.reject(call, SERVER_INTERNAL_ERROR):
+        if self.sip_connection.reject(call_id, SERVER_INTERNAL_ERROR):
             self.counts["sip_failures_sent"] += 1
         self._flush()
 
-    def on_released(self, call: str, cause: int) -> None:
+    def on_released(self, call_id: str, cause: int) -> None:
         """Release an established call that has ended, preferably on this connection."""
-        self.front.release(call, cause, self)
+        self.front.release(call_id, cause, self)
 
-    def release(self, call: str, cause: int) -> None:
+    def release(self, call_id: str, cause: int) -> None:
         """Send a release on this connection."""
-        self.sip_connection.release(call, cause)
+        self.sip_connection.release(call_id, cause)
         self._flush()
 
     def _mark_active(self, now_us: int) -> None:
--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -92,7 +92,7 @@
         """Send a set-up."""
         raise NotImplementedError
 
-    def send_release(self, call: str, cause: int, answered: bool) -> None:
+    def send_release(self, call_id: str, cause: int, answered: bool) -> None:
         """Send the cancellation of a set-up or, if it was answered, the release of the call."""
         raise NotImplementedError
 
@@ -133,7 +133,7 @@
             self.probe()
         if now - self._last_received_us > PEER_LOST_TIMEOUT_US and (calls := self.router.on_peer_lost(self.name)):
             log.warning("releasing calls at an unresponsive peer", peer=self.name, calls=len(calls))
-            self.pending_releases += [(call, TEMPORARY_FAILURE, True, now) for call in calls]
+            self.pending_releases += [(call_id, TEMPORARY_FAILURE, True, now) for call_id in calls]
 
     def dial(self) -> None:
         """Connect, unless a connection is established or under way."""
@@ -159,9 +159,9 @@
         self._connected_us = now = self.clock.now_us()
         self.counts["peer_connections"] += 1
         pending_releases, self.pending_releases = self.pending_releases, []
-        for call, cause, answered, since_us in pending_releases:
+        for call_id, cause, answered, since_us in pending_releases:
             if answered or now - since_us < PENDING_RELEASE_TIMEOUT_US:
-                self.send_release(call, cause, answered)
+                self.send_release(call_id, cause, answered)
         self.resume_calls()
         queued_set_ups, self.queued_set_ups = self.queued_set_ups, {}
         for request, deadline_us in queued_set_ups.values():
@@ -176,8 +176,8 @@
         if self._refused_dials >= REFUSED_DIALS_UNTIL_LOST:
             self.pending_releases.clear()
             self.router.on_peer_lost(self.name)  # the process is gone, and its calls with it
-        for call in queued_set_ups:
-            self.router.on_ended(self.name, call, AttemptEnd(io.Outcome.UNREACHABLE))
+        for call_id in queued_set_ups:
+            self.router.on_ended(self.name, call_id, AttemptEnd(io.Outcome.UNREACHABLE))
         self._schedule_reconnect()
 
     def on_disconnected(self, connection: StreamProtocol, reason: Failure) -> None:
@@ -220,9 +220,9 @@
         outstanding, self.outstanding_set_ups = self.outstanding_set_ups, set()
         if counter != "peer_closes":
             log.warning("connection to a peer ended", peer=self.name, why=counter, set_ups=len(outstanding))
-        self.pending_releases += [(call, NORMAL_CLEARING, False, now) for call in outstanding]
-        for call in outstanding:
-            self.router.on_ended(self.name, call, AttemptEnd(self.connection_lost_outcome))
+        self.pending_releases += [(call_id, NORMAL_CLEARING, False, now) for call_id in outstanding]
+        for call_id in outstanding:
+            self.router.on_ended(self.name, call_id, AttemptEnd(self.connection_lost_outcome))
         if now - self._connected_us < MIN_CONNECTED_US:
             self._schedule_reconnect()
         else:
@@ -249,8 +249,8 @@
             self._connector.stopConnecting()
         self._connector = None
         queued_set_ups, self.queued_set_ups = self.queued_set_ups, {}
-        for call in queued_set_ups:
-            self.router.on_ended(self.name, call, AttemptEnd(io.Outcome.UNREACHABLE))
+        for call_id in queued_set_ups:
+            self.router.on_ended(self.name, call_id, AttemptEnd(io.Outcome.UNREACHABLE))
         if self.connection is not None:
             self.abort_connection(self.connection)
             self.pending_releases.clear()  # the end of the connection added releases of its outstanding set-ups
@@ -275,15 +275,15 @@
             return
         self.outstanding_set_ups.add(request.call_id)
 
-    def release(self, call: str, cause: int) -> None:
+    def release(self, call_id: str, cause: int) -> None:
         """Cancel a set-up, or release an established call."""
-        if self.queued_set_ups.pop(call, None) is not None:
+        if self.queued_set_ups.pop(call_id, None) is not None:
             return
-        answered = call not in self.outstanding_set_ups  # a set-up that was sent and not answered is in there
-        self.outstanding_set_ups.discard(call)
+        answered = call_id not in self.outstanding_set_ups  # a set-up that was sent and not answered is in there
+        self.outstanding_set_ups.discard(call_id)
         if self.connection is not None:
             self.counts["peer_releases_sent"] += 1
-            self.send_release(call, cause, answered)
+            self.send_release(call_id, cause, answered)
         elif answered:  # otherwise the call would stay established at the peer, and hold its circuits
-            self.pending_releases.append((call, cause, answered, self.clock.now_us()))
+            self.pending_releases.append((call_id, cause, answered, self.clock.now_us()))
             self.dial()
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -121,9 +121,9 @@
         self._write(wire.encode_set_up(request.call_id, request.service_name, request.number, wait_ms,
                                        request.description))
 
-    def send_release(self, call: str, cause: int, answered: bool) -> None:
+    def send_release(self, call_id: str, cause: int, answered: bool) -> None:
         """Send a release, which this protocol uses both to cancel a set-up and to release an established call."""
-        self._write(wire.encode_release(call, cause))
+        self._write(wire.encode_release(call_id, cause))
 
     def probe(self) -> None:
         """Send a probe, and report its failure to the router if it is not answered in time."""
@@ -154,16 +154,16 @@
     def on_event(self, event: wire.Event) -> None:
         """Pass a message from the peer to the router."""
         match event:
-            case wire.Answered(call, description):
+            case wire.Answered(call_id, description):
                 self.counts["peer_answers"] += 1
-                self.outstanding_set_ups.discard(call)
-                self.router.on_answered(self.name, call, description)
-            case wire.Released(call, cause, note, report):
+                self.outstanding_set_ups.discard(call_id)
+                self.router.on_answered(self.name, call_id, description)
+            case wire.Released(call_id, cause, note, report):
                 self.counts[f"peer_releases_cause_{cause}"] += 1
-                self.outstanding_set_ups.discard(call)
+                self.outstanding_set_ups.discard(call_id)
                 outcome = RELEASE_CAUSE_OUTCOMES.get(cause, io.Outcome.NUMBER_FAULT)
                 end = AttemptEnd(outcome, RELEASE_NOTE_CAUSES.get(note, io.Cause.NONE), parse_load_report(report))
-                self.router.on_ended(self.name, call, end)
+                self.router.on_ended(self.name, call_id, end)
             case wire.GroupState(report):
                 self.counts["peer_group_states"] += 1
                 self.router.on_group_state(self.name, parse_load_report(report))
@@ -243,14 +243,14 @@
         """Send a set-up."""
         self.links[peer].set_up(request, deadline_us)
 
-    def cancel_set_up(self, peer: str, call: str) -> None:
+    def cancel_set_up(self, peer: str, call_id: str) -> None:
         """Cancel a pending set-up."""
-        self.release(peer, call, NORMAL_CLEARING)
+        self.release(peer, call_id, NORMAL_CLEARING)
 
-    def release(self, peer: str, call: str, cause: int) -> None:
+    def release(self, peer: str, call_id: str, cause: int) -> None:
         """Release an established call."""
         if (link := self.links.get(peer)) is not None:
-            link.release(call, cause)
+            link.release(call_id, cause)
 
     def probe(self, peer: str) -> None:
         """Send a probe to a peer."""
