--- a/tests/drivers.py
+++ b/tests/drivers.py
@@ -1,4 +1,4 @@
-"""Fixtures for the tests of the Twisted protocols of astertrack.net: fake transport, fake clock, the SIP front."""
+"""Helpers for the tests of the Twisted protocols of astertrack.net: fake transport, fake clock, the SIP front."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
         return round(float(self.reactor.seconds()) * 1e6)
 
 
-class SipFrontFixture:
+class SipFrontHarness:
     """The SIP front on a fake clock, with a router whose peers only record what they are sent."""
 
     def __init__(self, max_connections: int = 100) -> None:
-        self.reactor, self.harness, self.counts = Clock(), RouterHarness(), Counter[str]()
-        self.front = SipFront(self.harness.router, FakeClock(self.reactor), {"ledger-read": 0}, self.counts,
+        self.reactor, self.router_harness, self.counts = Clock(), RouterHarness(), Counter[str]()
+        self.front = SipFront(self.router_harness.router, FakeClock(self.reactor), {"ledger-read": 0}, self.counts,
                               max_connections)
 
     def connect(self) -> tuple[Any, Any]:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -33,7 +33,7 @@
     """A controller with a clock. The exchanges are named x0, x1, ...; x0 is the own one."""
 
     def __init__(self, harness_settings: io.Settings = SETTINGS, exchanges: int = 4, seed: int = 7) -> None:
-        self.now = 1000 * SECOND
+        self.now = 1000 * SECOND  # in microseconds
         self.settings = harness_settings
         self.controller = Controller(harness_settings, seed)
         self.offer_count = 0
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from drivers import FakeTransport, SipFrontFixture, close_by_peer, make_invite, released_calls, response_statuses
+from drivers import FakeTransport, SipFrontHarness, close_by_peer, make_invite, released_calls, response_statuses
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
@@ -20,11 +20,11 @@
 RELEASE_CONFIRMATION = sip.encode_message("SIP/2.0 200 OK", [("Call-ID", FIRST_CALL), ("CSeq", "2 BYE")])
 
 
-def connect_and_establish(fixture: SipFrontFixture, call: str = FIRST_CALL) -> tuple[Any, Any]:
+def connect_and_establish(harness: SipFrontHarness, call: str = FIRST_CALL) -> tuple[Any, Any]:
     """Return a connection on which a call is established, and its transport."""
-    connection, transport = fixture.connect()
+    connection, transport = harness.connect()
     connection.dataReceived(make_invite(call))
-    fixture.harness.router.on_answered(fixture.harness.peer_by_call[call], call, b"answer")
+    harness.router_harness.router.on_answered(harness.router_harness.peer_by_call[call], call, b"answer")
     return connection, transport
 
 
@@ -39,14 +39,14 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.fixture = SipFrontFixture()
-        self.connection, self.transport = self.fixture.connect()
+        self.harness = SipFrontHarness()
+        self.connection, self.transport = self.harness.connect()
         self.has_sent_message, self.active_us, self.call_count = False, self.now_us(), 0
         self.partial_since_us: int | None = None
         self.is_closed = False
 
     def now_us(self) -> int:
-        return round(self.fixture.reactor.seconds() * 1e6)
+        return round(self.harness.reactor.seconds() * 1e6)
 
     def record_message(self) -> None:
         self.has_sent_message, self.partial_since_us, self.active_us = True, None, self.now_us()
@@ -79,7 +79,7 @@
     def wait(self, ticks: int) -> None:
         for _ in range(ticks):
             had_pending = bool(self.connection.sip_connection.pending_invites)
-            self.fixture.pass_time(0.25)
+            self.harness.pass_time(0.25)
             now = self.now_us()
             closed_with_pending = had_pending and self.transport.is_closed  # closing refuses pending set-ups
             overdue = [0 if self.has_sent_message else now - self.active_us - MESSAGE_TIMEOUT_US,
@@ -102,71 +102,71 @@
 
 
 def test_connections_are_bounded_and_those_without_a_message_are_evicted_first() -> None:
-    fixture = SipFrontFixture(max_connections=3)
-    busy, idle, unused = fixture.connect(), fixture.connect(), fixture.connect()
-    fixture.pass_time(0.5)
+    harness = SipFrontHarness(max_connections=3)
+    busy, idle, unused = harness.connect(), harness.connect(), harness.connect()
+    harness.pass_time(0.5)
     busy[0].dataReceived(make_invite(FIRST_CALL))
     idle[0].dataReceived(PING)
-    fixture.pass_time(0.2)
+    harness.pass_time(0.2)
     for victim in (unused, idle):
-        new = fixture.connect()
+        new = harness.connect()
         assert victim[1].is_closed
         close_by_peer(victim[0])
-        new[0].dataReceived(make_invite(f"{len(fixture.harness.peer_by_call) + 7:016x}"))  # an unused id
+        new[0].dataReceived(make_invite(f"{len(harness.router_harness.peer_by_call) + 7:016x}"))  # an unused id
     assert not busy[1].is_closed
-    assert fixture.front.buildProtocol(None) is None  # all have pending set-ups: the new one is refused
-    assert fixture.counts["sip_connections_refused"] == 1
+    assert harness.front.buildProtocol(None) is None  # all have pending set-ups: the new one is refused
+    assert harness.counts["sip_connections_refused"] == 1
 
 
 def test_a_connection_that_just_got_an_answer_is_not_evicted() -> None:
-    fixture = SipFrontFixture(max_connections=1)
-    connection, transport = fixture.connect()
+    harness = SipFrontHarness(max_connections=1)
+    connection, transport = harness.connect()
     connection.dataReceived(make_invite(FIRST_CALL))
-    fixture.pass_time(0.3)
-    fixture.harness.router.on_answered(fixture.harness.peer_by_call[FIRST_CALL], FIRST_CALL, b"answer")
-    assert fixture.front.buildProtocol(None) is None
+    harness.pass_time(0.3)
+    harness.router_harness.router.on_answered(harness.router_harness.peer_by_call[FIRST_CALL], FIRST_CALL, b"answer")
+    assert harness.front.buildProtocol(None) is None
     assert not transport.is_closed
-    fixture.pass_time(0.2)
-    assert fixture.front.buildProtocol(None) is not None
+    harness.pass_time(0.2)
+    assert harness.front.buildProtocol(None) is not None
     assert transport.disconnecting and not transport.aborted  # the answer can still be read
 
 
 def test_evicted_connections_count_until_they_have_ended() -> None:
-    fixture = SipFrontFixture(max_connections=20)
+    harness = SipFrontHarness(max_connections=20)
     for _ in range(20):
-        fixture.connect()
-    fixture.pass_time(0.2)
+        harness.connect()
+    harness.pass_time(0.2)
     for _ in range(3):
-        fixture.connect()
-    assert fixture.counts["sip_closed_for_room"] == 3  # three different ones
+        harness.connect()
+    assert harness.counts["sip_closed_for_room"] == 3  # three different ones
     for _ in range(100):
-        if (new := fixture.front.buildProtocol(None)) is not None:
+        if (new := harness.front.buildProtocol(None)) is not None:
             new.makeConnection(FakeTransport())  # type: ignore[no-untyped-call]
-    assert fixture.front.open_descriptors <= 28  # the limit of 20 and the margin of 8
+    assert harness.front.open_descriptors <= 28  # the limit of 20 and the margin of 8
 
 
 def test_a_connection_with_bytes_not_read_yet_is_not_closed_for_being_idle() -> None:
-    fixture = SipFrontFixture()
-    connection, transport = fixture.connect()
+    harness = SipFrontHarness()
+    connection, transport = harness.connect()
     connection.dataReceived(PING)
     ours, theirs = socket.socketpair()
     with ours, theirs:
         transport.socket = ours
         theirs.send(b"I")
-        fixture.pass_time(IDLE_TIMEOUT_US / 1e6 + 1)
+        harness.pass_time(IDLE_TIMEOUT_US / 1e6 + 1)
         assert not transport.is_closed
         ours.recv(1)
-        fixture.pass_time(0.5)
+        harness.pass_time(0.5)
         assert transport.is_closed
 
 
 def test_a_caller_that_does_not_read_is_not_read_from_and_then_closed() -> None:
-    fixture = SipFrontFixture()
-    connection, transport = fixture.connect()
+    harness = SipFrontHarness()
+    connection, transport = harness.connect()
     connection.dataReceived(make_invite(FIRST_CALL))
     transport.producer.pauseProducing()
     assert transport.producerState == "paused"
-    fixture.pass_time(WRITE_BLOCKED_TIMEOUT_US / 1e6 + 0.5)
+    harness.pass_time(WRITE_BLOCKED_TIMEOUT_US / 1e6 + 0.5)
     assert transport.aborted
 
 
@@ -177,34 +177,34 @@
     {"attrs": "dest:1;dest:2"}, {"wait_ms": "999999999"}, {"wait_ms": "-5"}, {"wait_ms": "1e3"},
     {"class_name": "unheard-of"}, {"body": b"x" * 15_900}])
 def test_a_set_up_with_attributes_out_of_range_gets_an_error_and_is_never_sent(bad: dict[str, Any]) -> None:
-    fixture = SipFrontFixture()
-    connection, transport = fixture.connect()
+    harness = SipFrontHarness()
+    connection, transport = harness.connect()
     connection.dataReceived(make_invite(FIRST_CALL, **bad))
     assert response_statuses(transport, FIRST_CALL) in ([400], [500])
-    assert not fixture.harness.set_ups
+    assert not harness.router_harness.set_ups
 
 
 def test_a_set_up_with_the_id_of_a_call_pending_on_another_connection_does_not_affect_it() -> None:
-    fixture = SipFrontFixture()
-    (first, first_transport), (other, other_transport) = fixture.connect(), fixture.connect()
+    harness = SipFrontHarness()
+    (first, first_transport), (other, other_transport) = harness.connect(), harness.connect()
     first.dataReceived(make_invite(FIRST_CALL))
     other.dataReceived(make_invite(FIRST_CALL, body=b"another"))
     assert response_statuses(other_transport, FIRST_CALL) == [400]
     other.dataReceived(sip.encode_message("CANCEL sip:5@net SIP/2.0", [("Call-ID", FIRST_CALL), ("CSeq", "1 CANCEL")]))
     close_by_peer(other)
-    fixture.harness.router.on_answered(fixture.harness.peer_by_call[FIRST_CALL], FIRST_CALL, b"answer")
+    harness.router_harness.router.on_answered(harness.router_harness.peer_by_call[FIRST_CALL], FIRST_CALL, b"answer")
     assert response_statuses(first_transport, FIRST_CALL) == [200]
 
 
 def test_a_set_up_with_the_id_of_a_pending_call_and_another_description_is_refused_and_closes() -> None:
-    fixture = SipFrontFixture()
-    connection, transport = fixture.connect()
+    harness = SipFrontHarness()
+    connection, transport = harness.connect()
     connection.dataReceived(make_invite(FIRST_CALL) + make_invite(FIRST_CALL))  # a repeat, which is ignored
     assert not transport.is_closed
     connection.dataReceived(make_invite(FIRST_CALL, body=b"another"))
     assert response_statuses(transport, FIRST_CALL) == [503]
     assert transport.is_closed
-    assert FIRST_CALL not in fixture.harness.router.calls
+    assert FIRST_CALL not in harness.router_harness.router.calls
 
 
 @pytest.mark.parametrize("head", [
@@ -212,8 +212,8 @@
     b"INVITE sip:5@net SIP/2.0\r\nContent-Length: -1\r\n\r\n",
     b"INVITE sip:5@net SIP/2.0\r\nCall-ID: 5\r\nContent-Length: 0\r\n\r\n"])
 def test_a_malformed_message_is_refused_and_closes_without_waiting_for_the_rest(head: bytes) -> None:
-    fixture = SipFrontFixture()
-    connection, transport = fixture.connect()
+    harness = SipFrontHarness()
+    connection, transport = harness.connect()
     connection.dataReceived(head)
     assert transport.value().startswith(b"SIP/2.0 400 ")
     assert transport.is_closed
@@ -222,37 +222,39 @@
 
 
 def test_a_release_is_sent_where_calls_were_answered_not_on_the_latest_connection() -> None:
-    fixture = SipFrontFixture()
-    own, own_transport = connect_and_establish(fixture)
-    _, other_transport = connect_and_establish(fixture, SECOND_CALL)
-    unused, unused_transport = fixture.connect()
+    harness = SipFrontHarness()
+    own, own_transport = connect_and_establish(harness)
+    _, other_transport = connect_and_establish(harness, SECOND_CALL)
+    unused, unused_transport = harness.connect()
     unused.dataReceived(PING)
     close_by_peer(own)
-    fixture.harness.router.on_ended(fixture.harness.peer_by_call[FIRST_CALL], FIRST_CALL, AttemptEnd(io.Outcome.OK))
+    harness.router_harness.router.on_ended(
+        harness.router_harness.peer_by_call[FIRST_CALL], FIRST_CALL, AttemptEnd(io.Outcome.OK))
     assert released_calls(other_transport) == [FIRST_CALL]
     assert not released_calls(unused_transport) + released_calls(own_transport)
 
 
 def test_an_unconfirmed_release_is_repeated_elsewhere_if_callers_confirm_releases() -> None:
-    fixture = SipFrontFixture()
-    first, first_transport = connect_and_establish(fixture)
-    _, other_transport = connect_and_establish(fixture, SECOND_CALL)
-    fixture.harness.router.on_ended(fixture.harness.peer_by_call[FIRST_CALL], FIRST_CALL, AttemptEnd(io.Outcome.OK))
-    fixture.pass_time(1)
+    harness = SipFrontHarness()
+    first, first_transport = connect_and_establish(harness)
+    _, other_transport = connect_and_establish(harness, SECOND_CALL)
+    harness.router_harness.router.on_ended(
+        harness.router_harness.peer_by_call[FIRST_CALL], FIRST_CALL, AttemptEnd(io.Outcome.OK))
+    harness.pass_time(1)
     assert released_calls(first_transport) == [FIRST_CALL]  # no caller has ever confirmed one: they are not obliged to
-    assert not fixture.front.pending_releases
+    assert not harness.front.pending_releases
     first.dataReceived(RELEASE_CONFIRMATION)
-    fixture.front.release(FIRST_CALL, NORMAL_CLEARING, first)
-    fixture.pass_time(1)
+    harness.front.release(FIRST_CALL, NORMAL_CLEARING, first)
+    harness.pass_time(1)
     assert released_calls(first_transport) == [FIRST_CALL, FIRST_CALL]
     assert released_calls(other_transport) == [FIRST_CALL]
 
 
 def test_a_release_without_a_connection_with_answered_calls_waits_for_any_connection_briefly() -> None:
-    fixture = SipFrontFixture()
-    fixture.front.release(FIRST_CALL, NORMAL_CLEARING)
-    fixture.pass_time(2)
-    connection, transport = fixture.connect()
+    harness = SipFrontHarness()
+    harness.front.release(FIRST_CALL, NORMAL_CLEARING)
+    harness.pass_time(2)
+    connection, transport = harness.connect()
     connection.dataReceived(PING)
-    fixture.pass_time(0.5)
+    harness.pass_time(0.5)
     assert released_calls(transport) == [FIRST_CALL]
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -48,12 +48,12 @@
         self.stopped_dials += 1
 
 
-class PeerFixture:
+class PeerHarness:
     """One peer of a router whose peer table is the real one; the router's other ports only record."""
 
     def __init__(self) -> None:
-        self.harness, self.reactor, self.counts = RouterHarness(), FakeReactor(), Counter[str]()
-        self.router = self.harness.router
+        self.router_harness, self.reactor, self.counts = RouterHarness(), FakeReactor(), Counter[str]()
+        self.router = self.router_harness.router
         self.router.peers = self.table = PeerTable(self.make_link, 0, FakeClock(self.reactor))
         self.router.set_roster(io.RosterChange(io.RosterKind.REPLACE, (io.Entry("x1", 1, 0),)))
         self.transports: list[Any] = []
@@ -80,7 +80,7 @@
 
     def offer_call(self, call: str) -> None:
         """Offer a call to this peer's number."""
-        self.harness.offer(call)
+        self.router_harness.offer(call)
 
     def send(self, kind: int, call: str, parameters: dict[int, bytes]) -> None:
         """Send a message from the peer."""
@@ -99,12 +99,12 @@
         """Advance the clocks of the reactor and of the router."""
         for _ in range(us // 50_000):
             self.reactor.advance(0.05)
-            self.harness.pass_time(50_000)
+            self.router_harness.pass_time(50_000)
 
 
-def connected_peer(*calls: str) -> PeerFixture:
+def connected_peer(*calls: str) -> PeerHarness:
     """Return a connected peer at which these set-ups are outstanding."""
-    peer = PeerFixture()
+    peer = PeerHarness()
     peer.connect()
     for call in calls:
         peer.offer_call(call)
@@ -128,7 +128,7 @@
     assert peer.router.counts["attempts_cut"] == 2
     peer.send_answer(FIRST_CALL)  # ignored, because it follows the corrupt message on the same connection
     close_by_peer(peer.connection)
-    assert not peer.harness.finals
+    assert not peer.router_harness.finals
     assert peer.router.counts["attempts_cut"] == 2
     peer.connect()  # the link reconnects at once; set-ups that may have been answered are released before anything else
     assert sorted(peer.sent_messages()) == [
@@ -137,7 +137,7 @@
     assert sorted(peer.sent_messages())[:2] == [
         (wire.MessageType.SET_UP, FIRST_CALL), (wire.MessageType.SET_UP, SECOND_CALL)]
     peer.send_answer(FIRST_CALL)
-    assert peer.harness.answers == {FIRST_CALL: "answer"}
+    assert peer.router_harness.answers == {FIRST_CALL: "answer"}
 
 
 def test_a_truncated_message_ends_its_connection_and_a_delayed_one_does_not() -> None:
@@ -147,7 +147,7 @@
     peer.connection.dataReceived(message[:9])
     peer.pass_time(PARTIAL_MESSAGE_TIMEOUT_US - 50_000)
     peer.connection.dataReceived(message[9:] + message[:3])
-    assert peer.harness.answers == {FIRST_CALL: "answer"}
+    assert peer.router_harness.answers == {FIRST_CALL: "answer"}
     peer.pass_time(PARTIAL_MESSAGE_TIMEOUT_US - 50_000)
     assert not peer.transports[0].aborted
     peer.pass_time(100_000)
@@ -166,7 +166,7 @@
         wire.MessageType.GROUP_STATE, "0" * 16, {wire.Parameter.REPORT: b"x0:12;x1:40;eps:0"}))
     for data in (truncated, state) if separate_reads else (truncated + state,):
         peer.connection.dataReceived(data)
-    assert not peer.harness.finals
+    assert not peer.router_harness.finals
     assert peer.transports[0].aborted
     assert peer.counts["peer_swallowed"] + peer.counts["peer_malformed"] == 1
 
@@ -176,7 +176,7 @@
     peer.router.calls[FIRST_CALL].request.description = b"\0binary"
     peer.connection.dataReceived(wire.encode_message(wire.Message(
         wire.MessageType.ANSWER, FIRST_CALL, {wire.Parameter.DESCRIPTION: b"\0\1theirs"})))
-    assert peer.harness.finals == {FIRST_CALL: 1}
+    assert peer.router_harness.finals == {FIRST_CALL: 1}
     assert not peer.transports[0].aborted
 
 
@@ -185,7 +185,7 @@
     peer.send_answer("f" * 16)
     peer.send_answer(FIRST_CALL)
     peer.send_answer(FIRST_CALL)
-    assert peer.harness.finals == {FIRST_CALL: 1}
+    assert peer.router_harness.finals == {FIRST_CALL: 1}
     assert not peer.transports[0].aborted
 
 
@@ -194,14 +194,14 @@
     peer.send_answer(FIRST_CALL)
     peer.pass_time(1_000_000)
     peer.connection.connectionLost(cast(Any, Failure)(ConnectionLost()))
-    assert not peer.harness.caller_releases
+    assert not peer.router_harness.caller_releases
     peer.fail_dial(TimeoutError)
     peer.pass_time(RECONNECT_INTERVAL_US + 50_000)
     peer.fail_dial(ConnectionRefusedError)
-    assert not peer.harness.caller_releases
+    assert not peer.router_harness.caller_releases
     peer.pass_time(RECONNECT_INTERVAL_US + 50_000)
     peer.fail_dial(ConnectionRefusedError)
-    assert peer.harness.caller_releases == {FIRST_CALL: 1}
+    assert peer.router_harness.caller_releases == {FIRST_CALL: 1}
 
 
 def test_nothing_is_sent_on_a_dropped_connection() -> None:
@@ -232,9 +232,9 @@
 
 def test_a_set_up_that_is_too_long_for_a_message_fails_without_affecting_others() -> None:
     peer = connected_peer()
-    request = Request(FIRST_CALL, 0, "ledger-read", 1, "5", peer.harness.now + 3_000_000, b"x" * 16_380)
-    peer.router.offer(request, cast(Any, peer.harness))
-    assert peer.harness.finals == {FIRST_CALL: 1}
+    request = Request(FIRST_CALL, 0, "ledger-read", 1, "5", peer.router_harness.now + 3_000_000, b"x" * 16_380)
+    peer.router.offer(request, cast(Any, peer.router_harness))
+    assert peer.router_harness.finals == {FIRST_CALL: 1}
     peer.offer_call(SECOND_CALL)
     assert peer.sent_messages() == [(wire.MessageType.SET_UP, SECOND_CALL)]
 
@@ -253,9 +253,9 @@
     peer.connect()  # another connection, which is unresponsive, too
     peer.pass_time(UNRESPONSIVE_TIMEOUT_US + 2 * LIVENESS_CHECK_INTERVAL_US)
     assert peer.transports[1].aborted
-    assert not peer.harness.caller_releases  # the peer may still return, and the call with it
+    assert not peer.router_harness.caller_releases  # the peer may still return, and the call with it
     peer.pass_time(PEER_LOST_TIMEOUT_US - 2 * UNRESPONSIVE_TIMEOUT_US)
-    assert peer.harness.caller_releases == {FIRST_CALL: 1}
+    assert peer.router_harness.caller_releases == {FIRST_CALL: 1}
     assert PEER_LOST_TIMEOUT_US + 2 * LIVENESS_CHECK_INTERVAL_US < 8_000_000
     peer.connect()
     # The peer was unreachable and may still hold the circuits of the call: it is sent a release.
@@ -277,7 +277,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.peer = PeerFixture()
+        self.peer = PeerHarness()
         self.call_count = 0
 
     @rule()
@@ -322,7 +322,7 @@
         assert unanswered == link.outstanding_set_ups | set(link.queued_set_ups)
         assert not link.outstanding_set_ups & set(link.queued_set_ups)
         assert not link.outstanding_set_ups or link.connection is not None
-        assert all(count == 1 for count in self.peer.harness.finals.values())
+        assert all(count == 1 for count in self.peer.router_harness.finals.values())
         assert link.connection is not None or link._connector is not None or link._reconnect_timer is not None
         assert len(link.pending_releases) <= self.call_count
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -36,13 +36,13 @@
     max_size=80)
 
 
-class World:
+class NetworkSimulation:
     """Simulates the network and the callers, and checks every action against the rules."""
 
-    def __init__(self, world_settings: io.Settings) -> None:
-        self.settings = world_settings
-        self.controller = Controller(world_settings, 3)
-        self.now = 50 * SECOND
+    def __init__(self, controller_settings: io.Settings) -> None:
+        self.settings = controller_settings
+        self.controller = Controller(controller_settings, 3)
+        self.now = 50 * SECOND  # in microseconds, as all times here
         self.open_calls: dict[str, io.CallOffered] = {}  # offered, and neither refused nor ended
         self.answered: set[str] = set()
         self.pending: dict[str, tuple[int, str, int, int]] = {}  # attempt, exchange, sent_us, timeout_us (absolute)
@@ -128,55 +128,57 @@
 
 def run_steps(steps: list[tuple[str, int, int, int]], repeatability: io.Repeatability) -> None:
     ordinary = io.ServiceClass(ORDINARY.aim_us, ORDINARY.deadline_us, 1.0, hold_us=SECOND, repeatability=repeatability)
-    world = World(settings(classes=(ordinary, URGENT), controllers=EXCHANGES, max_attempts=3,
-                           cold_us=COLD_US))
+    network = NetworkSimulation(settings(
+        classes=(ordinary, URGENT), controllers=EXCHANGES, max_attempts=3, cold_us=COLD_US))
     for index, (step, variant, choice, us) in enumerate(steps):
         if step == "offer":
             name = f"c{index}"
             offer = io.CallOffered(name, variant % 2, 1 + choice % (EXCHANGES - 1), f"n{choice % 3}",
-                                   world.now + 1 + us, width=1.0 + choice % 2, transit=variant > 8)
-            world.open_calls[name] = offer
-            world.handle(offer)
-        elif step == "answer" and world.pending:
-            call = sorted(world.pending)[choice % len(world.pending)]
-            if call not in world.established and call in world.open_calls:
-                world.established.add(call)
-                world.handle(io.CallStands(call, world.pending[call][0], world.pending[call][1], us))
-        elif step == "end" and world.pending:
-            world.end_attempt(sorted(world.pending)[choice % len(world.pending)], *OUTCOMES[variant])
+                                   network.now + 1 + us, width=1.0 + choice % 2, transit=variant > 8)
+            network.open_calls[name] = offer
+            network.handle(offer)
+        elif step == "answer" and network.pending:
+            call = sorted(network.pending)[choice % len(network.pending)]
+            if call not in network.established and call in network.open_calls:
+                network.established.add(call)
+                network.handle(io.CallStands(call, network.pending[call][0], network.pending[call][1], us))
+        elif step == "end" and network.pending:
+            network.end_attempt(sorted(network.pending)[choice % len(network.pending)], *OUTCOMES[variant])
         elif step == "free":
-            world.handle(io.GroupStatus(f"x{choice % EXCHANGES}", True, 0, io.Load(free=float(variant - 2), size=10.0)))
+            network.handle(io.GroupStatus(
+                f"x{choice % EXCHANGES}", True, 0, io.Load(free=float(variant - 2), size=10.0)))
         elif step == "roster":
             exchange = f"x{1 + choice % (EXCHANGES - 1)}"
             readiness = list(io.Readiness)[variant % 3]
-            started = world.now if variant > 5 and readiness is io.Readiness.READY else None
+            started = network.now if variant > 5 and readiness is io.Readiness.READY else None
             if readiness is io.Readiness.READY:
-                world.ready.add(exchange)
-                world.started.pop(exchange, None)
-                world.sent_cold.pop(exchange, None)
+                network.ready.add(exchange)
+                network.started.pop(exchange, None)
+                network.sent_cold.pop(exchange, None)
                 if started:
-                    world.started[exchange] = started
+                    network.started[exchange] = started
             else:
-                world.ready.discard(exchange)
-            world.handle(io.RosterChange(io.RosterKind.UPDATE, entries(
+                network.ready.discard(exchange)
+            network.handle(io.RosterChange(io.RosterKind.UPDATE, entries(
                 [int(exchange[1:])], readiness=readiness, started_us=started)))
-        elif step == "gone" and world.open_calls:
-            call = sorted(world.open_calls)[choice % len(world.open_calls)]
-            if call not in world.established:
-                del world.open_calls[call]
-                world.handle(io.CallerGone(call))
+        elif step == "gone" and network.open_calls:
+            call = sorted(network.open_calls)[choice % len(network.open_calls)]
+            if call not in network.established:
+                del network.open_calls[call]
+                network.handle(io.CallerGone(call))
         elif step == "wait":
-            world.pass_time(us)
+            network.pass_time(us)
         elif step == "stray":
-            world.handle(io.CallerGone("never"))
-            world.handle(io.TimerDue("never"))
-            world.handle(io.CallStands("never", variant, "x9", us))
-            world.handle(io.AttemptEnded("never", variant, "x9", OUTCOMES[variant][0], us, False, OUTCOMES[variant][1]))
-            world.handle(io.PeerMessage(choice, b"\xff\x00"))
-            world.handle(io.GroupStatus("x9", False, us, io.Load()))
-            world.handle(io.RosterChange(io.RosterKind.UNAVAILABLE))
-    world.pass_time(10 * SECOND)
-    assert not [c for c in world.open_calls if c not in world.established]  # rule 1: every call got its answer
+            network.handle(io.CallerGone("never"))
+            network.handle(io.TimerDue("never"))
+            network.handle(io.CallStands("never", variant, "x9", us))
+            network.handle(io.AttemptEnded(
+                "never", variant, "x9", OUTCOMES[variant][0], us, False, OUTCOMES[variant][1]))
+            network.handle(io.PeerMessage(choice, b"\xff\x00"))
+            network.handle(io.GroupStatus("x9", False, us, io.Load()))
+            network.handle(io.RosterChange(io.RosterKind.UNAVAILABLE))
+    network.pass_time(10 * SECOND)
+    assert not [c for c in network.open_calls if c not in network.established]  # rule 1: every call got its answer
 
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=300)
