--- a/astertrack/core/gate.py
+++ b/astertrack/core/gate.py
@@ -156,19 +156,19 @@
         admission = Admission(self)
         for policy in self.policies:
             try:
-                verdict = policy.admit(request, now_us)
+                decision = policy.admit(request, now_us)
             except Exception as error:
                 self._report_fault(policy, "admit", error)
-                verdict = Refusal("fault", FAULT_WAIT_US) if policy.fail_closed else None
-            if isinstance(verdict, Refusal):
-                self.counts[f"gate_refused_{policy.name}_{verdict.cause}".replace("-", "_")] += 1
+                decision = Refusal("fault", FAULT_WAIT_US) if policy.fail_closed else None
+            if isinstance(decision, Refusal):
+                self.counts[f"gate_refused_{policy.name}_{decision.cause}".replace("-", "_")] += 1
                 admission.notify_final(request, FinalResult.REFUSED, now_us)
                 admission.notify_ended(request, now_us)
-                return verdict
-            if verdict is not None:
-                if verdict.dest is not None:
-                    request.dest = verdict.dest
-                admission.add(policy, verdict)
+                return decision
+            if decision is not None:
+                if decision.dest is not None:
+                    request.dest = decision.dest
+                admission.add(policy, decision)
         return admission
 
     def is_permitted(self, policy: Policy, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
--- a/astertrack/core/router.py
+++ b/astertrack/core/router.py
@@ -111,18 +111,18 @@
             self.counts["offers_too_late"] += 1
             self._reject(call, FinalResult.REFUSED, RETRY_WAIT_US)
             return True
-        verdict = self.gate.admit(request, now)
-        if isinstance(verdict, Refusal):
+        decision = self.gate.admit(request, now)
+        if isinstance(decision, Refusal):
             self.counts["refused_at_gate"] += 1
-            call.label = verdict.label
-            self._reject(call, FinalResult.REFUSED, verdict.wait_us)
+            call.label = decision.label
+            self._reject(call, FinalResult.REFUSED, decision.wait_us)
             return True
-        call.admission, call.label = verdict, verdict.label
+        call.admission, call.label = decision, decision.label
         call.guard_timer = self.clock.call_at(call.answer_by_us, lambda: self._refuse_overdue(call))
         self._dispatch(io.CallOffered(
             request.call_id, request.service, request.dest, request.number, request.deadline_us, request.width,
             request.tenant, request.transit, request.via, request.repeated, request.cut_before,
-            verdict.constraint.tiers, verdict.constraint.never))
+            decision.constraint.tiers, decision.constraint.never))
         return True
 
     def cancel(self, call_id: str) -> bool:
--- a/astertrack/parts/versions.py
+++ b/astertrack/parts/versions.py
@@ -145,15 +145,15 @@
         if version is None:
             return Refusal("no-plan", NO_PLAN_WAIT_US) if request.dest < 0 else None
         dest = request.dest
-        verdict = self.evaluator.admit(
+        decision = self.evaluator.admit(
             version.plan, RouteQuery(request.number, dest, request.service_name, request.transit), now_us)
         label = str(version.id)
-        if isinstance(verdict, PlanRefusal):
-            if verdict.cause == "unmatched" and not request.transit:
+        if isinstance(decision, PlanRefusal):
+            if decision.cause == "unmatched" and not request.transit:
                 self._record_outcome(version, request, dest, now_us, failed=True)
-            return Refusal(verdict.cause, verdict.wait_us, label)
-        route = verdict.route
-        return Approval(route.dest, RouteConstraint(route.tiers, route.never), label, _Token(version, verdict, dest))
+            return Refusal(decision.cause, decision.wait_us, label)
+        route = decision.route
+        return Approval(route.dest, RouteConstraint(route.tiers, route.never), label, _Token(version, decision, dest))
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
         """Return True: the gate itself enforces the route constraint of the approval."""
--- a/astertrack/plan/__init__.py
+++ b/astertrack/plan/__init__.py
@@ -2,7 +2,7 @@
 
 Decides, for one call at a time and without I/O: the destination (longest-prefix match in a burst trie), the ordered
 groups of routes to it by destination, class and zone, whether the number is barred or a limit is reached, and the
-retry advice for a refused caller. The choice among the permitted servers, retries and load shedding are left to the
+retry advice for a refused caller. The choice among the permitted routes, retries and load shedding are left to the
 decision module.
 
 Invariants: a plan that is not fully validated is never queried; a plan is immutable once built; a call follows one
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -21,16 +21,16 @@
 from astertrack.versions import VersionId, VersionManager, VersionSettings, make_document, write_header
 from ospreylug import interface as io
 
-Verdict = Callable[[Request], Approval | Refusal | None]
+DecideFunction = Callable[[Request], Approval | Refusal | None]
 TIERS = st.lists(st.none() | st.frozensets(st.integers(0, 4), max_size=3), max_size=3).map(tuple)
 CONSTRAINTS = st.builds(RouteConstraint, TIERS, st.frozensets(st.integers(0, 4), max_size=2))
 
 
 class RecordingPolicy:
-    """A policy whose verdicts a function supplies, and that records every notification."""
+    """A policy whose decisions a function supplies, and that records every notification."""
 
-    def __init__(self, verdict: Verdict, name: str = "recording", fail_closed: bool = False) -> None:
-        self.verdict, self.name, self.fail_closed = verdict, name, fail_closed
+    def __init__(self, decide: DecideFunction, name: str = "recording", fail_closed: bool = False) -> None:
+        self.decide, self.name, self.fail_closed = decide, name, fail_closed
         self.admitted: list[str] = []
         self.final_counts: Counter[str] = Counter()
         self.end_counts: Counter[str] = Counter()
@@ -39,11 +39,11 @@
         self.notifications: list[str] = []
 
     def admit(self, request: Request, now_us: int) -> Approval | Refusal | None:
-        """Return the supplied verdict, and record an admitted call."""
-        verdict = self.verdict(request)
-        if isinstance(verdict, Approval):
+        """Return the supplied decision, and record an admitted call."""
+        decision = self.decide(request)
+        if isinstance(decision, Approval):
             self.admitted.append(request.call_id)
-        return verdict
+        return decision
 
     def permits(self, token: object, request: Request, entry: io.Entry, now_us: int) -> bool:
         """Permit every exchange that is not blocked."""
@@ -73,10 +73,10 @@
         return super().__getattribute__(name)
 
 
-def scripted_policy(*verdicts: Approval | Refusal | None, name: str = "scripted",
+def scripted_policy(*decisions: Approval | Refusal | None, name: str = "scripted",
                     fail_closed: bool = False) -> RecordingPolicy:
-    """A policy that returns these verdicts in order, and then the last one for every further call."""
-    remaining = list(verdicts)
+    """A policy that returns these decisions in order, and then the last one for every further call."""
+    remaining = list(decisions)
     return RecordingPolicy(lambda request: remaining.pop(0) if len(remaining) > 1 else remaining[0], name, fail_closed)
 
 
@@ -181,7 +181,7 @@
     def make_harness(self) -> RouterHarness:
         source = random.Random(5)
 
-        def verdict(request: Request) -> Approval | Refusal | None:
+        def decide(request: Request) -> Approval | Refusal | None:
             draw = source.random()
             if draw < 0.2:
                 return None if draw < 0.1 else Refusal("random", 1_000)
@@ -191,7 +191,7 @@
                 constraint := RouteConstraint(tiers, frozenset(source.sample(range(4), source.randrange(2)))))
             return Approval(source.choice([None, None, 2]), constraint)
         self.constraints: dict[str, list[RouteConstraint]] = {}
-        self.recording_policies = [RecordingPolicy(verdict, "one"), RecordingPolicy(verdict, "two")]
+        self.recording_policies = [RecordingPolicy(decide, "one"), RecordingPolicy(decide, "two")]
         return RouterHarness(self.recording_policies)
 
     @invariant()
