--- a/astertrack/net/apilink.py
+++ b/astertrack/net/apilink.py
@@ -146,7 +146,7 @@
         self.counts["peer_" + api.TYPE_NAMES[type(message)]] += 1
         match message:
             case api.Answer(call_id, description):
-                self.outstanding_set_ups.discard(call_id)
+                self.pending_set_ups.discard(call_id)
                 self.router.on_answered(self.name, call_id, description.encode())
             case api.Refused(call_id, _, reason):
                 self._end_attempt(call_id, io.Outcome.TURNED_AWAY, REASON_CAUSES.get(reason, io.Cause.NONE))
@@ -164,5 +164,5 @@
                 self.router.on_group_state(self.name, io.Load(free=free, size=size, hold_back=hold_back))
 
     def _end_attempt(self, call_id: str, outcome: io.Outcome, cause: io.Cause = io.Cause.NONE) -> None:
-        self.outstanding_set_ups.discard(call_id)
+        self.pending_set_ups.discard(call_id)
         self.router.on_ended(self.name, call_id, AttemptEnd(outcome, cause))
--- a/astertrack/net/links.py
+++ b/astertrack/net/links.py
@@ -36,7 +36,7 @@
 LIVENESS_CHECK_INTERVAL_US = 100_000
 # The release of a set-up whose connection was lost is sent only within this time: on the platform a set-up may be sent
 # again after 300 ms, and a release names only the call, so a later one could release the new attempt.
-PENDING_RELEASE_TIMEOUT_US = 250_000
+QUEUED_RELEASE_TIMEOUT_US = 250_000
 
 
 class DialFactory(ClientFactory):
@@ -71,9 +71,9 @@
     retired: bool = False
     # Set-ups that wait for the connection, by call id: the request and its deadline in microseconds.
     queued_set_ups: dict[str, tuple[Request, int]] = field(default_factory=dict)
-    outstanding_set_ups: set[str] = field(default_factory=set)  # sent on the connection and neither answered nor ended
+    pending_set_ups: set[str] = field(default_factory=set)  # sent on the connection and neither answered nor ended
     # Releases that wait for the connection: call id, cause, whether the call was answered, since when in microseconds.
-    pending_releases: list[tuple[str, int, bool, int]] = field(default_factory=list)
+    queued_releases: list[tuple[str, int, bool, int]] = field(default_factory=list)
     connection_lost_outcome: io.Outcome = io.Outcome.CUT  # of set-ups whose connection is lost
     _connector: Any = None
     _refused_dials: int = 0
@@ -119,7 +119,7 @@
     def check_liveness(self) -> None:
         """Probe an unresponsive peer, drop its connection and finally release its calls.
 
-        A connection can stay open although nothing arrives on it any more. This protects outstanding set-ups, and
+        A connection can stay open although nothing arrives on it any more. This protects pending set-ups, and
         established calls: their ends go unnoticed, and they still have to be released towards their callers. A new
         connection gets the full timeout before it is dropped in turn.
         """
@@ -133,7 +133,7 @@
             self.probe()
         if now - self._last_received_us > PEER_LOST_TIMEOUT_US and (calls := self.router.on_peer_lost(self.name)):
             log.warning("releasing calls at an unresponsive peer", peer=self.name, calls=len(calls))
-            self.pending_releases += [(call_id, TEMPORARY_FAILURE, True, now) for call_id in calls]
+            self.queued_releases += [(call_id, TEMPORARY_FAILURE, True, now) for call_id in calls]
 
     def dial(self) -> None:
         """Connect, unless a connection is established or under way."""
@@ -158,9 +158,9 @@
         self.connection, self._connector, self._refused_dials = connection, None, 0
         self._connected_us = now = self.clock.now_us()
         self.counts["peer_connections"] += 1
-        pending_releases, self.pending_releases = self.pending_releases, []
-        for call_id, cause, answered, since_us in pending_releases:
-            if answered or now - since_us < PENDING_RELEASE_TIMEOUT_US:
+        queued_releases, self.queued_releases = self.queued_releases, []
+        for call_id, cause, answered, since_us in queued_releases:
+            if answered or now - since_us < QUEUED_RELEASE_TIMEOUT_US:
                 self.send_release(call_id, cause, answered)
         self.resume_calls()
         queued_set_ups, self.queued_set_ups = self.queued_set_ups, {}
@@ -174,14 +174,14 @@
         queued_set_ups, self.queued_set_ups = self.queued_set_ups, {}
         self._refused_dials = self._refused_dials + 1 if refused else 0
         if self._refused_dials >= REFUSED_DIALS_UNTIL_LOST:
-            self.pending_releases.clear()
+            self.queued_releases.clear()
             self.router.on_peer_lost(self.name)  # the process is gone, and its calls with it
         for call_id in queued_set_ups:
             self.router.on_ended(self.name, call_id, AttemptEnd(io.Outcome.UNREACHABLE))
         self._schedule_reconnect()
 
     def on_disconnected(self, connection: StreamProtocol, reason: Failure) -> None:
-        """Handle the end of a connection, which also ends the set-ups that are outstanding on it."""
+        """Handle the end of a connection, which also ends the set-ups that are pending on it."""
         self.mark_ended(connection, "peer_closes" if is_failure_of_type(reason, ConnectionDone) else "peer_resets")
 
     def abort_connection(self, connection: StreamProtocol) -> None:
@@ -207,21 +207,21 @@
             self.on_dial_failed(refused=False)
 
     def _on_connection_ended(self, counter: str) -> None:
-        """End the outstanding set-ups and reconnect. Established calls go on: no connection owns them.
+        """End the pending set-ups and reconnect. Established calls go on: no connection owns them.
 
         A reset alone does not prove that the peer's process died, so it must not end established calls: if the
-        process died, the next dials are refused, or the bulletin reports it. An outstanding set-up may have been
+        process died, the next dials are refused, or the bulletin reports it. A pending set-up may have been
         answered without this router receiving the answer: the peer is sent a release, or it would hold circuits for
         nobody.
         """
         self.connection = None
         self.counts[counter] += 1
         now = self.clock.now_us()
-        outstanding, self.outstanding_set_ups = self.outstanding_set_ups, set()
+        pending, self.pending_set_ups = self.pending_set_ups, set()
         if counter != "peer_closes":
-            log.warning("connection to a peer ended", peer=self.name, why=counter, set_ups=len(outstanding))
-        self.pending_releases += [(call_id, NORMAL_CLEARING, False, now) for call_id in outstanding]
-        for call_id in outstanding:
+            log.warning("connection to a peer ended", peer=self.name, why=counter, set_ups=len(pending))
+        self.queued_releases += [(call_id, NORMAL_CLEARING, False, now) for call_id in pending]
+        for call_id in pending:
             self.router.on_ended(self.name, call_id, AttemptEnd(self.connection_lost_outcome))
         if now - self._connected_us < MIN_CONNECTED_US:
             self._schedule_reconnect()
@@ -241,7 +241,7 @@
         Without this, links to machines that are long gone would dial forever.
         """
         self.retired = True
-        self.pending_releases.clear()
+        self.queued_releases.clear()
         if self._reconnect_timer is not None:
             self._reconnect_timer.cancel()
             self._reconnect_timer = None
@@ -253,7 +253,7 @@
             self.router.on_ended(self.name, call_id, AttemptEnd(io.Outcome.UNREACHABLE))
         if self.connection is not None:
             self.abort_connection(self.connection)
-            self.pending_releases.clear()  # the end of the connection added releases of its outstanding set-ups
+            self.queued_releases.clear()  # the end of the connection added releases of its pending set-ups
 
     # ---- calls
 
@@ -273,17 +273,17 @@
             log.warning("set-up cannot be encoded", peer=self.name, call=request.call_id, error=str(error))
             self.router.on_ended(self.name, request.call_id, AttemptEnd(io.Outcome.NUMBER_FAULT))
             return
-        self.outstanding_set_ups.add(request.call_id)
+        self.pending_set_ups.add(request.call_id)
 
     def release(self, call_id: str, cause: int) -> None:
         """Cancel a set-up, or release an established call."""
         if self.queued_set_ups.pop(call_id, None) is not None:
             return
-        answered = call_id not in self.outstanding_set_ups  # a set-up that was sent and not answered is in there
-        self.outstanding_set_ups.discard(call_id)
+        answered = call_id not in self.pending_set_ups  # a set-up that was sent and not answered is in there
+        self.pending_set_ups.discard(call_id)
         if self.connection is not None:
             self.counts["peer_releases_sent"] += 1
             self.send_release(call_id, cause, answered)
         elif answered:  # otherwise the call would stay established at the peer, and hold its circuits
-            self.pending_releases.append((call_id, cause, answered, self.clock.now_us()))
+            self.queued_releases.append((call_id, cause, answered, self.clock.now_us()))
             self.dial()
--- a/astertrack/net/peers.py
+++ b/astertrack/net/peers.py
@@ -108,7 +108,7 @@
     """The link to a peer that speaks the platform's binary protocol."""
 
     # Unanswered probes, by their ids: when each was sent, in microseconds, and the timer of its timeout.
-    outstanding_probes: dict[str, tuple[int, Timer]] = field(default_factory=dict)
+    pending_probes: dict[str, tuple[int, Timer]] = field(default_factory=dict)
     _probe_count: int = 0
 
     def build_connection(self) -> PeerConnection:
@@ -132,10 +132,10 @@
         now = self.clock.now_us()
 
         def on_timeout() -> None:
-            if self.outstanding_probes.pop(probe_id, None) is not None:
+            if self.pending_probes.pop(probe_id, None) is not None:
                 self.router.on_group_state(self.name, io.Load(), ok=False, delay_us=self.clock.now_us() - now)
 
-        self.outstanding_probes[probe_id] = (now, self.clock.call_at(now + PROBE_TIMEOUT_US, on_timeout))
+        self.pending_probes[probe_id] = (now, self.clock.call_at(now + PROBE_TIMEOUT_US, on_timeout))
         if self.connection is not None:
             self._write(wire.encode_test(probe_id))
 
@@ -156,11 +156,11 @@
         match event:
             case wire.Answered(call_id, description):
                 self.counts["peer_answers"] += 1
-                self.outstanding_set_ups.discard(call_id)
+                self.pending_set_ups.discard(call_id)
                 self.router.on_answered(self.name, call_id, description)
             case wire.Released(call_id, cause, note, report):
                 self.counts[f"peer_releases_cause_{cause}"] += 1
-                self.outstanding_set_ups.discard(call_id)
+                self.pending_set_ups.discard(call_id)
                 outcome = RELEASE_CAUSE_OUTCOMES.get(cause, io.Outcome.NUMBER_FAULT)
                 end = AttemptEnd(outcome, RELEASE_NOTE_CAUSES.get(note, io.Cause.NONE), parse_load_report(report))
                 self.router.on_ended(self.name, call_id, end)
@@ -168,7 +168,7 @@
                 self.counts["peer_group_states"] += 1
                 self.router.on_group_state(self.name, parse_load_report(report))
             case wire.TestResult(probe_id, passed, report):
-                if (probe := self.outstanding_probes.pop(probe_id, None)) is not None:
+                if (probe := self.pending_probes.pop(probe_id, None)) is not None:
                     probe[1].cancel()
                     self.router.on_group_state(self.name, parse_load_report(report), passed,
                                             self.clock.now_us() - probe[0])
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -103,7 +103,7 @@
 
 
 def connected_peer(*calls: str) -> PeerHarness:
-    """Return a connected peer at which these set-ups are outstanding."""
+    """Return a connected peer at which these set-ups are pending."""
     peer = PeerHarness()
     peer.connect()
     for call in calls:
@@ -224,7 +224,7 @@
     peer.pass_time(3_000_000)
     assert len(peer.reactor.dials) == dials
     assert peer.reactor.stopped_dials == 1
-    assert not peer.link.queued_set_ups and not peer.link.outstanding_set_ups and not peer.link.pending_releases
+    assert not peer.link.queued_set_ups and not peer.link.pending_set_ups and not peer.link.queued_releases
     peer.connect()  # established although the dial was stopped
     assert peer.transports[-1].aborted
     assert not peer.sent_messages()
@@ -308,23 +308,23 @@
             close_by_peer(connection)
         elif event == "truncated":
             self.peer.connection.dataReceived(b"\x00")
-        elif self.peer.link.outstanding_set_ups:
-            self.peer.send_answer(min(self.peer.link.outstanding_set_ups))
+        elif self.peer.link.pending_set_ups:
+            self.peer.send_answer(min(self.peer.link.pending_set_ups))
 
     @rule(ticks=st.integers(1, 40))
     def wait(self, ticks: int) -> None:
         self.peer.pass_time(ticks * 50_000)
 
     @invariant()
-    def each_set_up_is_either_queued_or_outstanding(self) -> None:
+    def each_set_up_is_either_queued_or_pending(self) -> None:
         link, router = self.peer.link, self.peer.router
         unanswered = {n for n, c in router.calls.items() if c.attempt is not None and not c.is_established}
-        assert unanswered == link.outstanding_set_ups | set(link.queued_set_ups)
-        assert not link.outstanding_set_ups & set(link.queued_set_ups)
-        assert not link.outstanding_set_ups or link.connection is not None
+        assert unanswered == link.pending_set_ups | set(link.queued_set_ups)
+        assert not link.pending_set_ups & set(link.queued_set_ups)
+        assert not link.pending_set_ups or link.connection is not None
         assert all(count == 1 for count in self.peer.router_harness.finals.values())
         assert link.connection is not None or link._connector is not None or link._reconnect_timer is not None
-        assert len(link.pending_releases) <= self.call_count
+        assert len(link.queued_releases) <= self.call_count
 
 
 TestLinkStates = LinkStates.TestCase
