--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -32,18 +32,18 @@
     """A router with a simulated clock, and with peers and a caller that record what the router asks of them."""
 
     def __init__(self, policies: Sequence[Policy] = ()) -> None:
-        self.now = 1_000 * SECOND
+        self.now = 1_000 * SECOND  # in microseconds
         self.timer_sequence = itertools.count()
         self.timers: list[tuple[int, int, FakeTimer]] = []
-        self.set_ups: list[tuple[str, str]] = []  # (peer, call)
-        self.peer_by_call: dict[str, str] = {}  # peers of pending set-ups and established calls, by call
+        self.set_ups: list[tuple[str, str]] = []  # (peer, call id)
+        self.peer_by_call: dict[str, str] = {}  # peers of pending set-ups and established calls, by call id
         self.peer_releases: list[tuple[str, str, int]] = []
         self.finals: Counter[str] = Counter()
         self.answers: dict[str, str] = {}
         self.waits: dict[str, int] = {}
         self.caller_releases: Counter[str] = Counter()
         self.records: list[CallRecord] = []
-        self.release_pending_since_us: dict[str, int] = {}  # by call: end of an attempt that has to be released first
+        self.release_pending_since_us: dict[str, int] = {}  # by call id: end of an attempt to be released first
         self.violations: list[str] = []
         router_settings = settings(callers_wait=True, max_caller_wait_us=2 * SECOND, release_us=300_000)
         counts: Counter[str] = Counter()
@@ -86,30 +86,30 @@
         self.set_ups.append((peer, request.call_id))
         self.peer_by_call[request.call_id] = peer
 
-    def cancel_set_up(self, peer: str, call: str) -> None:
-        self.release(peer, call, NORMAL_CLEARING)
-        self.release_pending_since_us[call] = self.now
+    def cancel_set_up(self, peer: str, call_id: str) -> None:
+        self.release(peer, call_id, NORMAL_CLEARING)
+        self.release_pending_since_us[call_id] = self.now
 
-    def release(self, peer: str, call: str, cause: int) -> None:
-        self.peer_releases.append((peer, call, cause))
-        if self.peer_by_call.get(call) == peer:
-            del self.peer_by_call[call]
+    def release(self, peer: str, call_id: str, cause: int) -> None:
+        self.peer_releases.append((peer, call_id, cause))
+        if self.peer_by_call.get(call_id) == peer:
+            del self.peer_by_call[call_id]
 
     def probe(self, peer: str) -> None:
         pass
 
     # the caller's port
 
-    def on_answered(self, call: str, description: bytes) -> None:
-        self.finals[call] += 1
-        self.answers[call] = description.decode()
+    def on_answered(self, call_id: str, description: bytes) -> None:
+        self.finals[call_id] += 1
+        self.answers[call_id] = description.decode()
 
-    def on_refused(self, call: str, wait_us: int) -> None:
-        self.finals[call] += 1
-        self.waits[call] = wait_us
+    def on_refused(self, call_id: str, wait_us: int) -> None:
+        self.finals[call_id] += 1
+        self.waits[call_id] = wait_us
 
-    def on_failed(self, call: str) -> None:
-        self.finals[call] += 1
+    def on_failed(self, call_id: str) -> None:
+        self.finals[call_id] += 1
 
     # actions of the tests
 
@@ -118,15 +118,15 @@
                         for n in range(4))
         self.router.set_roster(io.RosterChange(io.RosterKind.REPLACE, entries))
 
-    def offer(self, call: str, dest: int = 1, wait_us: int = 3 * SECOND, **more: bool) -> None:
-        request = Request(call, 0, "ledger-read", dest, f"line-{call}", self.now + wait_us, b"offer", **more)
+    def offer(self, call_id: str, dest: int = 1, wait_us: int = 3 * SECOND, **more: bool) -> None:
+        request = Request(call_id, 0, "ledger-read", dest, f"line-{call_id}", self.now + wait_us, b"offer", **more)
         self.router.offer(request, CallerPort(self))
 
-    def peer_ends(self, call: str, outcome: io.Outcome, cause: io.Cause = io.Cause.NONE) -> None:
-        peer = self.peer_by_call.pop(call)
+    def peer_ends(self, call_id: str, outcome: io.Outcome, cause: io.Cause = io.Cause.NONE) -> None:
+        peer = self.peer_by_call.pop(call_id)
         if outcome is io.Outcome.CUT:
-            self.release_pending_since_us[call] = self.now
-        self.router.on_ended(peer, call, AttemptEnd(outcome, cause))
+            self.release_pending_since_us[call_id] = self.now
+        self.router.on_ended(peer, call_id, AttemptEnd(outcome, cause))
 
 
 class CallerPort:
@@ -136,8 +136,8 @@
         self.on_answered, self.on_refused, self.on_failed = harness.on_answered, harness.on_refused, harness.on_failed
         self.harness = harness
 
-    def on_released(self, call: str, cause: int) -> None:
-        self.harness.caller_releases[call] += 1
+    def on_released(self, call_id: str, cause: int) -> None:
+        self.harness.caller_releases[call_id] += 1
 
 
 def test_a_call_is_answered_released_and_recorded() -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -58,7 +58,7 @@
     def __init__(self, probation_us: int = 0, has_store: bool = False, max_bytes: int = 1 << 20) -> None:
         self.manager = VersionManager(VersionSettings("n1", "fes", probation_us, max_bytes, has_store),
                                       random.Random(1))
-        self.now = 0
+        self.now = 0  # in microseconds
         self.actions: list[Any] = []
 
     def send(self, document: Document, end: bool = True, lines: list[bytes] | None = None,
