--- a/benchmarks/narrowing.py
+++ b/benchmarks/narrowing.py
@@ -166,7 +166,8 @@
 def run_simulation(pass_constraints: bool, seed: int, rate: float, seconds: float) -> dict[str, float]:
     """Run one simulation with Poisson arrivals at a rate per second.
 
-    Returns, as fractions of the offered calls: established calls, refused calls and set-ups attempted in vain.
+    Returns the fractions of the offered calls that were established and refused, and the number of set-ups attempted in
+    vain per offered call, which can exceed 1.
     """
     simulation, rng = Simulation(pass_constraints, seed), random.Random(seed)
     calls, arrival_us = 0, simulation.clock_us
