--- a/tests/drivers.py
+++ b/tests/drivers.py
@@ -1,4 +1,4 @@
-"""Fixtures for the tests of the Twisted protocols of astertrack.net: fake transport, fake clock, the SIP front."""
+"""Helpers for the tests of the Twisted protocols of astertrack.net: fake transport, fake clock, the SIP front."""
 
 from __future__ import annotations
 
@@ -42,12 +42,12 @@
         return round(float(self.reactor.seconds()) * 1e6)
 
 
-class SipFrontFixture:
+class SipFrontHarness:
     """The SIP front on a fake clock, with a router whose peers only record what they are sent."""
 
     def __init__(self, max_connections: int = 100) -> None:
-        self.reactor, self.harness, self.counts = Clock(), RouterHarness(), Counter[str]()
-        self.front = SipFront(self.harness.router, FakeClock(self.reactor), {"ledger-read": 0}, self.counts,
+        self.reactor, self.router_harness, self.counts = Clock(), RouterHarness(), Counter[str]()
+        self.front = SipFront(self.router_harness.router, FakeClock(self.reactor), {"ledger-read": 0}, self.counts,
                               max_connections)
 
     def connect(self) -> tuple[Any, Any]:
@@ -68,10 +68,10 @@
 
 
 def make_invite(call: str, number: str = "5", attrs: str = "dest:1;width:1;via:-1", wait_ms: str = "3000",
-                body: bytes = b"offer", tier: str = "ledger-read") -> bytes:
+                body: bytes = b"offer", class_name: str = "ledger-read") -> bytes:
     """Return a set-up."""
     return sip.encode_message(f"INVITE sip:{number}@net SIP/2.0", [
-        ("Call-ID", call), ("CSeq", "1 INVITE"), ("X-Tier", tier), ("X-Deadline", wait_ms),
+        ("Call-ID", call), ("CSeq", "1 INVITE"), ("X-Tier", class_name), ("X-Deadline", wait_ms),
         ("X-Attrs", attrs)], body)
 
 
