--- a/laboratory/load.py
+++ b/laboratory/load.py
@@ -40,7 +40,7 @@
 
 
 class CallGenerator:
-    """Places calls, each to a number of its own: random digits or, for some, a word that makes a stand-in fail."""
+    """Places calls to nine random digits, which two calls rarely share, or to a word that makes a stand-in fail."""
 
     def __init__(self, rng: random.Random, exchanges: list[int]) -> None:
         self.rng, self.exchanges = rng, exchanges
